--- a/internal/cell/jobs/jobs.go
+++ b/internal/cell/jobs/jobs.go
@@ -1,12 +1,15 @@
-// Package jobs defines jobs and their tasks: what a submitter asks for, and
-// the states that a task goes through.
+// Package jobs defines job specifications, tasks and the state machine of a
+// task.
 //
-// A task's state changes in two ways only. WithStart records the intent to run
-// the next attempt, before the attempt is sent to a worker. WithEnd records how
-// that attempt ended. Both refuse a stale attempt number, so a report that
-// arrives twice or late changes nothing. What an end means for a task that is
-// not idempotent is decided here and nowhere else: if it may have run and
-// nobody can say so, the task is parked, never run again on its own.
+// WithStart records the intent to run the next attempt, before the start
+// request is sent to a worker. WithEnd records how the attempt ended; it
+// ignores an end whose attempt number is not the running one, so duplicate and
+// late reports have no effect. WithCancel and WithSettled apply a cancellation
+// and an operator's decision.
+//
+// This package alone decides what an end means for a task that is not
+// idempotent: if an attempt may have run and its outcome is unknown, the task
+// is parked and not retried until an operator settles it.
 //
 // # Usage
 //
@@ -24,7 +27,8 @@
 	"lagooncourse/internal/base/fault"
 )
 
-// Kind is the class of a job. Each kind has a policy of its own.
+// Kind is the class of a job. It determines how the job is queued, placed and
+// retried.
 type Kind string
 
 // The kinds, most urgent first.
@@ -38,7 +42,7 @@
 // Kinds lists all kinds, most urgent first.
 var Kinds = []Kind{Urgent, Service, Gang, Batch}
 
-// Rank returns the kind's place in Kinds.
+// Rank returns the kind's index in Kinds, or len(Kinds) for an unknown kind.
 func (k Kind) Rank() int {
 	for i, other := range Kinds {
 		if k == other {
@@ -48,7 +52,7 @@
 	return len(Kinds)
 }
 
-// ID names a job. It starts with the group that owns the job.
+// ID identifies a job. It has the form GROUP.NUMBER, where GROUP owns the job.
 type ID string
 
 // NewID returns the id of the nth job of a group.
@@ -64,7 +68,7 @@
 	return g, err == nil
 }
 
-// Ref names one task of a job.
+// Ref identifies one task of a job.
 type Ref struct {
 	Job   ID
 	Index int
@@ -83,38 +87,39 @@
 	return Ref{Job: ID(job), Index: n}, nil
 }
 
-// Bounds of a Spec.
+// Limits of a Spec.
 const (
-	MaxTasks     = 1000
-	MaxCPU       = 1_000_000 // millicores of one task
-	MaxMem       = 16 << 20  // MiB of one task
-	MaxAccel     = 64        // devices of one task
-	MaxRunMs     = 90 * 24 * 3600 * 1000
-	MaxRetries   = 100
-	MaxNameBytes = 128
-	MaxPayload   = 16 << 10 // bytes
-	defaultQueue = "default"
-	nameAlphabet = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_."
+	MaxTasks        = 1000
+	MaxCPUMillis    = 1_000_000             // per task
+	MaxMemoryMiB    = 16 << 20              // per task
+	MaxAccelerators = 64                    // per task
+	MaxRunMs        = 90 * 24 * 3600 * 1000 // 90 days
+	MaxRetries      = 100
+	MaxNameBytes    = 128
+	MaxPayloadBytes = 16 << 10
+	defaultQueue    = "default"
+	nameChars       = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_."
 )
 
-// Spec is what a submitter asks for. It is a value and is never changed after
-// its job has been accepted.
+// Spec is a submitted job specification. It does not change after the job has
+// been accepted.
 type Spec struct {
-	Name       string `json:"name"`                 // family of similar jobs
-	Kind       Kind   `json:"kind"`                 //
-	Team       string `json:"team,omitempty"`       // filled in from the key
-	Queue      string `json:"queue,omitempty"`      //
-	Submission string `json:"submission,omitempty"` // repeats with the same id are one job
-	Tasks      int    `json:"tasks"`                //
-	Size       Size   `json:"size"`                 // of each task, as declared
-	RunMs      int64  `json:"runMs"`                // declared run time; 0 for a service
-	Idempotent bool   `json:"idempotent"`           // a task may run again if it may have run
-	Retries    int    `json:"retries"`              // attempts after a failure of the task itself
-	Az         string `json:"az,omitempty"`         // wanted availability zone; empty for any
-	Payload    string `json:"payload,omitempty"`    // handed to the worker unread
+	Name       string `json:"name"`                 // shared by jobs that behave alike
+	Kind       Kind   `json:"kind"`                 // Batch if empty
+	Team       string `json:"team,omitempty"`       // set from the API key
+	Queue      string `json:"queue,omitempty"`      // "default" if empty
+	Submission string `json:"submission,omitempty"` // idempotency key of the submission
+	Tasks      int    `json:"tasks"`                // number of tasks; 1 if 0
+	Size       Size   `json:"size"`                 // declared size of each task
+	RunMs      int64  `json:"runMs"`                // declared run time; 0 is allowed for a service only
+	Idempotent bool   `json:"idempotent"`           // a task can run again after an attempt that may have run
+	Retries    int    `json:"retries"`              // retries after failures of the task itself
+	Az         string `json:"az,omitempty"`         // requested availability zone; empty for any
+	Payload    string `json:"payload,omitempty"`    // passed to the worker; opaque to the scheduler
 }
 
-// WithDefaults returns the spec with defaults for what was left empty.
+// WithDefaults returns the spec with defaults for the empty queue, task count
+// and kind.
 func (s Spec) WithDefaults() Spec {
 	if s.Queue == "" {
 		s.Queue = defaultQueue
@@ -140,7 +145,7 @@
 	return s
 }
 
-// Total returns the size of all tasks together.
+// Total returns the sum of the sizes of all tasks.
 func (s Spec) Total() Size { return s.Size.Times(int64(s.Tasks)) }
 
 // Check returns an error that names the first invalid field and its value.
@@ -157,8 +162,8 @@
 	if len(s.Submission) > MaxNameBytes {
 		return fault.Field("submission", s.Submission, "must have at most %d bytes", MaxNameBytes)
 	}
-	if len(s.Payload) > MaxPayload {
-		return fault.Field("payload", len(s.Payload), "must have at most %d bytes", MaxPayload)
+	if len(s.Payload) > MaxPayloadBytes {
+		return fault.Field("payload", len(s.Payload), "must have at most %d bytes", MaxPayloadBytes)
 	}
 	return s.checkNumbers()
 }
@@ -170,9 +175,9 @@
 		min, max int64
 	}{
 		{"tasks", int64(s.Tasks), 1, MaxTasks},
-		{"size.cpuMillis", s.Size.CPU, 1, MaxCPU},
-		{"size.memoryMiB", s.Size.Mem, 0, MaxMem},
-		{"size.accelerators", s.Size.Accel, 0, MaxAccel},
+		{"size.cpuMillis", s.Size.CPU, 1, MaxCPUMillis},
+		{"size.memoryMiB", s.Size.Mem, 0, MaxMemoryMiB},
+		{"size.accelerators", s.Size.Accel, 0, MaxAccelerators},
 		{"runMs", s.RunMs, 0, MaxRunMs},
 		{"retries", int64(s.Retries), 0, MaxRetries},
 	}
@@ -196,7 +201,7 @@
 	if v == "" || len(v) > MaxNameBytes {
 		return fault.Field(field, v, "must have 1 to %d bytes", MaxNameBytes)
 	}
-	if strings.Trim(v, nameAlphabet) != "" {
+	if strings.Trim(v, nameChars) != "" {
 		return fault.Field(field, v, "must consist of letters, digits, '-', '_' and '.'")
 	}
 	return nil
--- a/internal/cell/jobs/size.go
+++ b/internal/cell/jobs/size.go
@@ -5,11 +5,11 @@
 	"math/bits"
 )
 
-// Unlimited stands for a dimension without a bound. It is small enough that
-// sums of thousands of them do not overflow.
+// Unlimited is the value of a dimension without a limit. It is small enough
+// that the sum of thousands of them does not overflow.
 const Unlimited = int64(1) << 48
 
-// Size is an amount of each resource. It is a value; no method changes it.
+// Size is an amount of each resource. Its methods return new values.
 type Size struct {
 	CPU   int64 `json:"cpuMillis"`    // millicores
 	Mem   int64 `json:"memoryMiB"`    // MiB
@@ -21,7 +21,7 @@
 	return Size{CPU: s.CPU + o.CPU, Mem: s.Mem + o.Mem, Accel: s.Accel + o.Accel}
 }
 
-// Minus returns s - o. A dimension may become negative.
+// Minus returns s - o. Dimensions of the result may be negative.
 func (s Size) Minus(o Size) Size {
 	return Size{CPU: s.CPU - o.CPU, Mem: s.Mem - o.Mem, Accel: s.Accel - o.Accel}
 }
@@ -40,8 +40,8 @@
 	}
 }
 
-// scale returns v*num/den rounded down, for v and num of 0 or more. It returns
-// v itself unless num < den, which also covers a zero den.
+// scale returns v*num/den, rounded down. It returns v unchanged if num >= den,
+// which includes den == 0, or if v <= 0. A negative num counts as 0.
 func scale(v, num, den int64) int64 {
 	if num >= den || v <= 0 {
 		return v
@@ -69,8 +69,8 @@
 // IsZero reports whether every dimension is 0.
 func (s Size) IsZero() bool { return s.CPU == 0 && s.Mem == 0 && s.Accel == 0 }
 
-// Dominant returns the largest fraction that s takes of total in any
-// dimension. A dimension that total lacks does not count.
+// Dominant returns the dominant share of s: the largest fraction of total that
+// it takes in any dimension. Dimensions that are 0 in total are ignored.
 func (s Size) Dominant(total Size) float64 {
 	return max(fraction(s.CPU, total.CPU), fraction(s.Mem, total.Mem), fraction(s.Accel, total.Accel))
 }
@@ -82,7 +82,7 @@
 	return float64(part) / float64(whole)
 }
 
-// String returns the size in the units in which it is counted.
+// String returns the size with its units.
 func (s Size) String() string {
 	return fmt.Sprintf("%dm cpu, %d MiB, %d accelerators", s.CPU, s.Mem, s.Accel)
 }
--- a/internal/cell/jobs/task.go
+++ b/internal/cell/jobs/task.go
@@ -1,33 +1,33 @@
 package jobs
 
-// State is a task's state.
+// State is the state of a task.
 type State string
 
-// The states. Waiting and Placed are the only ones that a task leaves by
-// itself; an operator may settle a Parked one.
+// The states of a task. A Parked task leaves its state only when an operator
+// settles it or its job is cancelled. Done, Failed and Cancelled are final.
 const (
 	Waiting   State = "waiting"
-	Placed    State = "placed"    // the intent to run an attempt is recorded
-	Done      State = "done"      //
-	Failed    State = "failed"    //
-	Cancelled State = "cancelled" //
-	Parked    State = "parked"    // it may have run, and nobody can say
+	Placed    State = "placed"    // the intent to run an attempt is recorded; the attempt may be running
+	Done      State = "done"      // finished, or settled as done
+	Failed    State = "failed"    // failed without a retry left, or settled as failed
+	Cancelled State = "cancelled" // cancelled before it finished
+	Parked    State = "parked"    // the outcome of the last attempt is unknown; not retried automatically
 )
 
-// Final reports whether the task has ended for good.
+// Final reports whether s is a final state.
 func (s State) Final() bool { return s == Done || s == Failed || s == Cancelled }
 
-// How says how an attempt ended.
+// How is the way in which an attempt ended.
 type How string
 
-// The ends of an attempt.
+// The ways in which an attempt ends.
 const (
 	EndOK           How = "ok"
 	EndFailed       How = "failed"       // the task itself failed
-	EndStopped      How = "stopped"      // interrupted, its work is lost
-	EndCheckpointed How = "checkpointed" // interrupted, its work is kept
-	EndAbsent       How = "absent"       // it never started, and never will
-	EndLost         How = "lost"         // it does not run; whether it finished is not known
+	EndStopped      How = "stopped"      // interrupted; its progress is lost
+	EndCheckpointed How = "checkpointed" // interrupted after a checkpoint was saved
+	EndAbsent       How = "absent"       // it never started and never will
+	EndLost         How = "lost"         // it no longer runs; whether it finished is unknown
 )
 
 // End reports the end of one attempt.
@@ -40,43 +40,43 @@
 	AtMs       int64
 }
 
-// Task is the state of one task. It is a value; its With methods return the
-// next state.
+// Task is the state of one task. Its With methods return the next state and
+// leave the receiver unchanged.
 type Task struct {
 	State      State  `json:"state"`
-	Attempt    int    `json:"attempt"` // the newest, from 1; 0 before the first
+	Attempt    int    `json:"attempt"` // number of the latest attempt, counted from 1; 0 before the first
 	Group      string `json:"group,omitempty"`
 	Worker     string `json:"worker,omitempty"`
-	Boot       int64  `json:"boot,omitempty"` // of the worker, when it was chosen
+	Boot       int64  `json:"boot,omitempty"` // the worker's boot id when it was selected
 	StartMs    int64  `json:"startMs,omitempty"`
 	EndMs      int64  `json:"endMs,omitempty"`
 	Failures   int    `json:"failures,omitempty"`
 	Result     string `json:"result,omitempty"`
 	Checkpoint string `json:"checkpoint,omitempty"`
 	Cancelling bool   `json:"cancelling,omitempty"`
-	Reason     string `json:"reason,omitempty"` // why it is parked or failed
+	Reason     string `json:"reason,omitempty"` // why the task was parked, failed, settled or cancelled while parked
 }
 
-// Site says where an attempt is to run.
+// Site identifies the worker selected for an attempt.
 type Site struct {
-	Group  string // of the worker
+	Group  string // group of the worker
 	Worker string
-	Boot   int64 // of the worker, when it was chosen
+	Boot   int64 // the worker's boot id when it was selected
 }
 
-// WithStart returns the task after the intent to run its next attempt at the
-// site.
+// WithStart returns the task after recording the intent to run its next attempt
+// on the site's worker.
 func (t Task) WithStart(site Site, nowMs int64) Task {
 	t.State, t.Group, t.Worker, t.Boot, t.StartMs = Placed, site.Group, site.Worker, site.Boot, nowMs
 	t.Attempt++
 	return t
 }
 
-// Site returns where the newest attempt was sent.
+// Site returns the worker selected for the latest attempt.
 func (t Task) Site() Site { return Site{Group: t.Group, Worker: t.Worker, Boot: t.Boot} }
 
-// WithCancel returns the task after a request to cancel it. A placed task
-// stays placed until its worker has stopped it.
+// WithCancel returns the task after a cancellation request. A placed task stays
+// placed until its attempt has ended.
 func (t Task) WithCancel(nowMs int64) Task {
 	switch t.State {
 	case Waiting:
@@ -89,8 +89,8 @@
 	return t
 }
 
-// WithEnd returns the task after the end of an attempt. An end that does not
-// belong to the running attempt returns the task unchanged.
+// WithEnd returns the task after the end of an attempt. It returns the task
+// unchanged if e is not about the current attempt of a placed task.
 func (t Task) WithEnd(spec Spec, e End) Task {
 	if t.State != Placed || t.Attempt != e.Attempt {
 		return t
@@ -103,9 +103,9 @@
 		return t.afterFailure(spec, e)
 	case EndCheckpointed:
 		t.Checkpoint = e.Checkpoint
-		return t.again()
+		return t.retryOrCancel()
 	case EndAbsent:
-		return t.again()
+		return t.retryOrCancel()
 	case EndStopped:
 		return t.afterInterruption(spec, "was interrupted without a checkpoint")
 	}
@@ -114,7 +114,7 @@
 
 func (t Task) afterOK(spec Spec, e End) Task {
 	if spec.Kind == Service {
-		return t.again()
+		return t.retryOrCancel()
 	}
 	t.State, t.Result, t.Cancelling = Done, e.Result, false
 	return t
@@ -123,7 +123,7 @@
 func (t Task) afterFailure(spec Spec, e End) Task {
 	t.Failures++
 	if spec.Kind == Service || spec.Idempotent && t.Failures <= spec.Retries {
-		return t.again()
+		return t.retryOrCancel()
 	}
 	t.State, t.Reason = Failed, "the task failed"
 	if e.Result != "" {
@@ -134,15 +134,15 @@
 
 func (t Task) afterInterruption(spec Spec, reason string) Task {
 	if spec.Idempotent {
-		return t.again()
+		return t.retryOrCancel()
 	}
 	t.State, t.Reason = Parked, reason
 	return t
 }
 
-// again returns the task ready for another attempt, or cancelled if that was
-// asked for.
-func (t Task) again() Task {
+// retryOrCancel returns the task waiting for its next attempt, or cancelled if a
+// cancellation was requested.
+func (t Task) retryOrCancel() Task {
 	t.State = Waiting
 	if t.Cancelling {
 		t.State = Cancelled
@@ -150,10 +150,10 @@
 	return t
 }
 
-// Action is an operator's decision on a parked task.
+// Action is an operator's decision about a parked task.
 type Action string
 
-// The actions.
+// The actions that settle a parked task.
 const (
 	SettleDone   Action = "done"
 	SettleFailed Action = "failed"
@@ -163,8 +163,8 @@
 // Actions lists all actions.
 var Actions = []Action{SettleDone, SettleFailed, SettleRerun}
 
-// WithSettled returns the task after an operator's decision. Only a parked
-// task changes.
+// WithSettled returns the task after an operator's decision. A task that is not
+// parked is returned unchanged.
 func (t Task) WithSettled(a Action, nowMs int64) Task {
 	if t.State != Parked {
 		return t
@@ -181,23 +181,23 @@
 	return t
 }
 
-// Job is a job with the states of its tasks.
+// Job is an accepted job with the state of each task.
 type Job struct {
 	ID       ID     `json:"id"`
 	Spec     Spec   `json:"spec"`
 	SubmitMs int64  `json:"submitMs"`
-	EndMs    int64  `json:"endMs,omitempty"` // when its last task ended
+	EndMs    int64  `json:"endMs,omitempty"` // time at which the last task reached a final state
 	Tasks    []Task `json:"tasks"`
 }
 
-// WithTasks returns the job with its own copy of the tasks.
+// WithTasks returns the job with a copy of the given tasks.
 func (j Job) WithTasks(tasks []Task) Job {
 	j.Tasks = append([]Task(nil), tasks...)
 	return j
 }
 
-// State returns the state of the job as a whole: the worst of its final tasks
-// once all have ended, and otherwise parked, placed or waiting.
+// State returns the state of the job: the first of placed, parked, waiting,
+// failed and cancelled that any task has, and otherwise done.
 func (j Job) State() State {
 	seen := map[State]int{}
 	for _, t := range j.Tasks {
@@ -211,7 +211,7 @@
 	return Done
 }
 
-// Ended reports whether every task has ended for good.
+// Ended reports whether every task is in a final state.
 func (j Job) Ended() bool {
 	for _, t := range j.Tasks {
 		if !t.State.Final() {
