--- a/internal/cell/books/books.go
+++ b/internal/cell/books/books.go
@@ -1,23 +1,28 @@
-// Package books keeps the account of one group's workers: what each has, and
-// which attempts of which tasks hold a part of it.
+// Package books tracks the capacity of one group's workers and the task attempts
+// to which it is allocated.
 //
-// An attempt is booked before anything is sent to its worker and stays booked
-// until the worker says that it is not there, or until the worker's lease has
-// run out. In between, every uncertainty counts as "may be running". The sum
-// of what is booked on a worker never exceeds what the worker has, so whatever
-// the truth turns out to be, the host is not overcommitted.
+// Capacity is allocated to an attempt before its start request is sent. It stays
+// allocated until the worker reports that the attempt has ended or is absent, or
+// until the worker's lease has expired. Until then an attempt with an unknown
+// state counts as running. Reservations never allocate more than a worker's
+// capacity, so the worker is not overcommitted whatever the state of those
+// attempts turns out to be.
 //
-// The books are not durable. A successor fills them from the inventories of
-// the workers, after it has raised their fencing token, and books nothing on a
-// worker whose inventory it has not seen.
+// The allocations are held in memory only. After a takeover the new owner of the
+// group first raises the fencing token of each worker, then rebuilds the
+// allocations from the worker's inventory. It reserves nothing on a worker
+// before it has received that inventory.
+//
+// The home group of an attempt is the group that owns the job; it may differ
+// from the group of the worker.
 //
 // # Usage
 //
 //	b := books.New()
 //	b.SetWorkers(list)
-//	site, ok := b.Reserve(books.Ask{Attempt: a, Size: size, UntilMs: nowMs + 2000}, nowMs)
-//	order, ok := b.Begin(a)             // before the start request is sent
-//	reports := b.Inventory(worker, inventory) // after every renewal
+//	slot, ok := b.Reserve(books.Ask{Attempt: a, Size: size, UntilMs: nowMs + 2000}, nowMs)
+//	order, ok := b.Begin(a)                   // before the start request is sent
+//	reports := b.Inventory(worker, inventory) // after each lease renewal
 package books
 
 import (
@@ -26,238 +31,244 @@
 	"lagooncourse/internal/cell/jobs"
 )
 
-// Attempt names one try to run one task.
+// Attempt identifies one attempt to run a task.
 type Attempt struct {
-	Task   string // a jobs.Ref as a string
-	Number int
+	Task   string // jobs.Ref in its string form
+	Number int    // counted from 1
 }
 
-// Worker describes a worker to the books.
+// Worker describes a worker and its capacity.
 type Worker struct {
 	ID      string
 	Rack    string
-	Cap     jobs.Size
-	Leaving bool
+	Cap     jobs.Size // capacity
+	Leaving bool      // draining: takes no new attempts
 }
 
-// phase is how far an attempt has come.
+// phase is the phase of an allocation.
 type phase uint8
 
 const (
-	reserved phase = iota // nothing has been sent
-	sending               // the start request has been sent and not answered
-	running               // the worker has confirmed it
-	ended                 // the worker has reported its end, not forgotten yet
+	reserved phase = iota // no start request has been sent
+	sending               // the start request may have been sent and is not confirmed
+	running               // the worker has confirmed that the attempt runs
+	ended                 // the attempt has ended; kept until the worker drops it
 )
 
-// entry is one booked attempt.
-type entry struct {
-	attempt Attempt
-	home    string // group that owns the job
-	size    jobs.Size
-	kind    jobs.Kind
-	phase   phase
-	untilMs int64  // a reservation lapses at this instant
-	seq     uint64 // of the start request
-	boot    int64  // of the worker, when the room was reserved
-	open    bool   // the start request may still be under way
-	end     Report // once ended
-	noted   bool   // the end has been recorded at home
-}
-
-type account struct {
+// allocation is the capacity of one worker that is allocated to one attempt.
+type allocation struct {
+	attempt  Attempt
+	home     string // home group
+	size     jobs.Size
+	kind     jobs.Kind
+	phase    phase
+	untilMs  int64  // expiry of the reservation
+	seq      uint64 // sequence number of the start request
+	boot     int64  // the worker's boot id at the time of the reservation
+	inFlight bool   // the start request may still be in flight
+	end      Report // set in phase ended
+	recorded bool   // the home group has recorded the end
+}
+
+// workerState is a worker with its allocations.
+type workerState struct {
 	Worker
-	used     jobs.Size
-	ready    bool    // its inventory has been seen
-	lost     bool    // its lease has run out since the books were opened
-	boot     int64   // from its newest inventory
-	mode     Mode    // what quarantine admits
-	savedFor Attempt // the only attempt for which room is reserved until savedMs
-	savedMs  int64
-	attempts map[Attempt]*entry
-}
-
-// Books is the account of one group. It is not safe for concurrent use.
+	used        jobs.Size
+	ready       bool    // set by an inventory, cleared by LoseWorker and Unready
+	lost        bool    // set by LoseWorker, cleared by an inventory
+	boot        int64   // boot id in the latest inventory
+	mode        Mode    // restriction by quarantine
+	heldFor     Attempt // attempt for which free capacity is held until heldUntilMs
+	heldUntilMs int64
+	allocations map[Attempt]*allocation
+}
+
+// Books holds the allocations of one group's workers. It is not safe for
+// concurrent use.
 type Books struct {
-	workers map[string]*account
-	order   []string // worker ids, sorted
-	where   map[Attempt]string
-	denied  map[Attempt]bool // attempts that were reported absent and may never start
-	deniedQ []Attempt
-	nextSeq uint64
+	workers     map[string]*workerState
+	workerIDs   []string           // worker ids, sorted
+	workerOf    map[Attempt]string // worker id of each allocation
+	denied      map[Attempt]bool   // attempts that must never start
+	deniedOrder []Attempt          // keys of denied, oldest first
+	nextSeq     uint64             // sequence number of the next start request
 }
 
-// New returns books without workers.
+// New returns Books without workers.
 func New() *Books {
 	return &Books{
-		workers: map[string]*account{}, where: map[Attempt]string{}, denied: map[Attempt]bool{}, nextSeq: 1,
+		workers: map[string]*workerState{}, workerOf: map[Attempt]string{}, denied: map[Attempt]bool{}, nextSeq: 1,
 	}
 }
 
-// SetWorkers takes the host list's view. A worker that is no longer listed
-// keeps its account until nothing is booked on it, because the list may be
-// wrong.
+// SetWorkers updates the workers from the host list. The list may be wrong, so a
+// worker that is no longer listed is marked as leaving and removed only when it
+// has no allocations.
 func (b *Books) SetWorkers(list []Worker) {
 	listed := map[string]bool{}
-	for _, w := range list {
-		listed[w.ID] = true
-		a := b.workers[w.ID]
-		if a == nil {
-			a = &account{attempts: map[Attempt]*entry{}}
-			b.workers[w.ID] = a
+	for _, worker := range list {
+		listed[worker.ID] = true
+		w := b.workers[worker.ID]
+		if w == nil {
+			w = &workerState{allocations: map[Attempt]*allocation{}}
+			b.workers[worker.ID] = w
 		}
-		a.Worker = w
+		w.Worker = worker
 	}
-	for id, a := range b.workers {
+	for id, w := range b.workers {
 		if listed[id] {
 			continue
 		}
-		a.Leaving = true
-		if len(a.attempts) == 0 {
+		w.Leaving = true
+		if len(w.allocations) == 0 {
 			delete(b.workers, id)
 		}
 	}
-	b.order = b.order[:0]
+	b.workerIDs = b.workerIDs[:0]
 	for id := range b.workers {
-		b.order = append(b.order, id)
+		b.workerIDs = append(b.workerIDs, id)
 	}
-	sort.Strings(b.order)
+	sort.Strings(b.workerIDs)
 }
 
-// Free returns the sum of what open workers have left, and the most that one
-// of them has left in each dimension.
+// Free returns the total free capacity of the schedulable workers and, for each
+// dimension, the largest free capacity of a single one.
 func (b *Books) Free() (sum, largest jobs.Size) {
-	for _, id := range b.order {
-		if a := b.workers[id]; a.open() {
-			sum, largest = sum.Plus(a.room()), largest.Most(a.room())
+	for _, id := range b.workerIDs {
+		if w := b.workers[id]; w.schedulable() {
+			sum, largest = sum.Plus(w.free()), largest.Most(w.free())
 		}
 	}
 	return sum, largest
 }
 
-// Capacity returns the sum of what all workers that are not leaving have.
+// Capacity returns the total capacity of all workers that are not leaving.
 func (b *Books) Capacity() jobs.Size {
 	var sum jobs.Size
-	for _, a := range b.workers {
-		if !a.Leaving {
-			sum = sum.Plus(a.Cap)
+	for _, w := range b.workers {
+		if !w.Leaving {
+			sum = sum.Plus(w.Cap)
 		}
 	}
 	return sum
 }
 
 // Workers returns the ids of all workers, sorted.
-func (b *Books) Workers() []string { return append([]string(nil), b.order...) }
+func (b *Books) Workers() []string { return append([]string(nil), b.workerIDs...) }
 
-// Ready reports whether the worker's inventory has been seen.
+// Ready reports whether the worker has reported an inventory and has not been
+// marked lost or unready since.
 func (b *Books) Ready(worker string) bool {
-	a := b.workers[worker]
-	return a != nil && a.ready
+	w := b.workers[worker]
+	return w != nil && w.ready
 }
 
-// Mode says what a worker may be given.
+// Mode restricts which attempts may be placed on a worker.
 type Mode uint8
 
 // The modes.
 const (
-	Open   Mode = iota // anything
-	Closed             // nothing
-	Probe              // one attempt at a time that may run again
+	Open   Mode = iota // all attempts
+	Closed             // no attempts
+	Probe              // one attempt of an idempotent task at a time
 )
 
-// SetMode changes what a worker may be given.
+// SetMode sets the mode of the worker.
 func (b *Books) SetMode(worker string, m Mode) {
-	if a := b.workers[worker]; a != nil {
-		a.mode = m
+	if w := b.workers[worker]; w != nil {
+		w.mode = m
 	}
 }
 
-// Ask is a request to reserve room for one attempt.
+// Ask is a request to reserve capacity for one attempt.
 type Ask struct {
 	Attempt Attempt
 	Home    string
 	Kind    jobs.Kind
 	Size    jobs.Size
-	UntilMs int64    // the reservation lapses then, unless the attempt has begun
-	Avoid   []string // workers that are not wanted
-	Again   bool     // the task may run again, and so serve as a probe
+	UntilMs int64    // expiry of the reservation
+	Exclude []string // ids of workers that must not be chosen
+	Again   bool     // the task is idempotent, so the attempt can probe a quarantined worker
 }
 
-// Slot is reserved room on a worker.
+// Slot identifies the worker on which capacity is reserved.
 type Slot struct {
 	Worker string
-	Boot   int64
+	Boot   int64 // the worker's boot id at the time of the reservation
 }
 
-// Reserve books room on the worker that the policy prefers and returns it. A
-// repeated ask for an attempt returns the same worker. Nothing is booked for
-// an attempt that was denied.
+// Reserve reserves capacity on the best worker with enough of it. A repeated ask
+// for a reserved attempt extends the reservation and returns the same worker;
+// ok is false once the attempt has begun, if it is denied, or if no worker fits.
 func (b *Books) Reserve(ask Ask, nowMs int64) (slot Slot, ok bool) {
-	if a, e := b.find(ask.Attempt); e != nil {
-		e.untilMs = max(e.untilMs, ask.UntilMs)
-		return Slot{Worker: a.ID, Boot: a.boot}, e.phase == reserved
+	if w, a := b.find(ask.Attempt); a != nil {
+		a.untilMs = max(a.untilMs, ask.UntilMs)
+		return Slot{Worker: w.ID, Boot: w.boot}, a.phase == reserved
 	}
 	if b.denied[ask.Attempt] {
 		return Slot{}, false
 	}
-	a := b.choose(ask, nowMs)
-	if a == nil {
+	w := b.choose(ask, nowMs)
+	if w == nil {
 		return Slot{}, false
 	}
-	b.book(a, &entry{
+	b.allocate(w, &allocation{
 		attempt: ask.Attempt, home: ask.Home, size: ask.Size, kind: ask.Kind,
-		phase: reserved, untilMs: ask.UntilMs, boot: a.boot,
+		phase: reserved, untilMs: ask.UntilMs, boot: w.boot,
 	})
-	return Slot{Worker: a.ID, Boot: a.boot}, true
+	return Slot{Worker: w.ID, Boot: w.boot}, true
 }
 
-// choose returns the best open worker with room, or nil. Services go where
-// most is free, so that they spread; everything else goes where least is left
-// over, so that large holes stay whole.
-func (b *Books) choose(ask Ask, nowMs int64) *account {
-	var best *account
+// choose returns the best schedulable worker with enough free capacity, or nil.
+// It spreads services: they get the worker with the most capacity left. All
+// other kinds are packed onto the worker with the least capacity left, which
+// avoids fragmentation.
+func (b *Books) choose(ask Ask, nowMs int64) *workerState {
+	var best *workerState
 	var bestScore float64
-	for _, id := range b.order {
-		a := b.workers[id]
-		if !a.open() || !a.admits(ask) || !ask.Size.Fits(a.room()) ||
-			contains(ask.Avoid, id) || a.savedFromOthers(ask.Attempt, nowMs) {
+	for _, id := range b.workerIDs {
+		w := b.workers[id]
+		if !w.schedulable() || !w.modeAllows(ask) || !ask.Size.Fits(w.free()) ||
+			contains(ask.Exclude, id) || w.heldForOther(ask.Attempt, nowMs) {
 			continue
 		}
-		left := a.room().Minus(ask.Size)
-		score := left.Dominant(a.Cap)
-		if ask.Size.Accel == 0 && a.Cap.Accel > 0 {
-			score += scarceDevices
+		left := w.free().Minus(ask.Size)
+		score := left.Dominant(w.Cap)
+		if ask.Size.Accel == 0 && w.Cap.Accel > 0 {
+			score += acceleratorPenalty
 		}
 		if ask.Kind == jobs.Service {
 			score = -score
 		}
 		if best == nil || score < bestScore {
-			best, bestScore = a, score
+			best, bestScore = w, score
 		}
 	}
 	return best
 }
 
-// scarceDevices is added to the score of a worker with accelerators for work
-// that needs none. It outweighs every fill level.
-const scarceDevices = 1.0
+// acceleratorPenalty is added to the score of a worker with accelerators if the
+// ask needs none. Scores without it lie between 0 and 1, so it outweighs any
+// difference in free capacity.
+const acceleratorPenalty = 1.0
 
-// admits reports whether the worker's mode lets the ask in.
-func (a *account) admits(ask Ask) bool {
-	if a.mode != Probe {
+// modeAllows reports whether the worker's mode, Open or Probe, permits the ask.
+// Closed is checked by schedulable.
+func (w *workerState) modeAllows(ask Ask) bool {
+	if w.mode != Probe {
 		return true
 	}
-	return ask.Again && a.used.IsZero()
+	return ask.Again && w.used.IsZero()
 }
 
-// savedFromOthers reports whether the worker's room is kept for an attempt
+// heldForOther reports whether the worker's free capacity is held for an attempt
 // other than at.
-func (a *account) savedFromOthers(at Attempt, nowMs int64) bool {
-	return nowMs < a.savedMs && a.savedFor != at
+func (w *workerState) heldForOther(at Attempt, nowMs int64) bool {
+	return nowMs < w.heldUntilMs && w.heldFor != at
 }
 
-func (a *account) open() bool      { return a.ready && a.mode != Closed && !a.Leaving }
-func (a *account) room() jobs.Size { return a.Cap.Minus(a.used) }
+func (w *workerState) schedulable() bool { return w.ready && w.mode != Closed && !w.Leaving }
+func (w *workerState) free() jobs.Size   { return w.Cap.Minus(w.used) }
 
 func contains(list []string, s string) bool {
 	for _, v := range list {
@@ -268,152 +279,156 @@
 	return false
 }
 
-func (b *Books) book(a *account, e *entry) {
-	a.attempts[e.attempt] = e
-	a.used = a.used.Plus(e.size)
-	b.where[e.attempt] = a.ID
+// allocate adds a to the worker's allocations.
+func (b *Books) allocate(w *workerState, a *allocation) {
+	w.allocations[a.attempt] = a
+	w.used = w.used.Plus(a.size)
+	b.workerOf[a.attempt] = w.ID
 }
 
-// drop removes an attempt altogether.
-func (b *Books) drop(a *account, e *entry) {
-	if e.phase != ended {
-		a.used = a.used.Minus(e.size)
+// remove deletes the allocation and frees its capacity.
+func (b *Books) remove(w *workerState, a *allocation) {
+	if a.phase != ended {
+		w.used = w.used.Minus(a.size)
 	}
-	delete(a.attempts, e.attempt)
-	delete(b.where, e.attempt)
+	delete(w.allocations, a.attempt)
+	delete(b.workerOf, a.attempt)
 }
 
-// finish frees the attempt's room and keeps its end until it is forgotten.
-func (b *Books) finish(a *account, e *entry, end Report) {
-	if e.phase != ended {
-		a.used = a.used.Minus(e.size)
+// finish frees the capacity of an attempt that has ended. It keeps the
+// allocation with its end until Forget and the next renewal have removed it.
+func (b *Books) finish(w *workerState, a *allocation, end Report) {
+	if a.phase != ended {
+		w.used = w.used.Minus(a.size)
 	}
-	e.phase, e.end, e.open = ended, end, false
+	a.phase, a.end, a.inFlight = ended, end, false
 }
 
-func (b *Books) find(at Attempt) (*account, *entry) {
-	id, ok := b.where[at]
+// find returns the worker and the allocation of an attempt, or nil, nil.
+func (b *Books) find(at Attempt) (*workerState, *allocation) {
+	id, ok := b.workerOf[at]
 	if !ok {
 		return nil, nil
 	}
-	a := b.workers[id]
-	return a, a.attempts[at]
+	w := b.workers[id]
+	return w, w.allocations[at]
 }
 
-// Order is what a start request has to carry for the worker to accept it.
+// Order holds the fields of a start request that the worker checks.
 type Order struct {
 	Worker string
-	Seq    uint64 // within the epoch
-	Boot   int64  // of the worker; one that has restarted since refuses the request
+	Seq    uint64 // sequence number within the epoch
+	Boot   int64  // expected boot id; the worker refuses the request if it has restarted
 }
 
-// Begin marks a reserved attempt as being sent. It fails if the reservation
-// has lapsed or was denied, or if the worker has been closed or has restarted
-// since; the attempt then never starts.
+// Begin marks a reserved attempt as being started. Call it before sending the
+// start request. It fails if the reservation has expired. It also fails if the
+// worker is no longer schedulable or has restarted; the attempt is then denied.
 func (b *Books) Begin(at Attempt) (o Order, ok bool) {
-	a, e := b.find(at)
-	if e == nil || e.phase != reserved {
+	w, a := b.find(at)
+	if a == nil || a.phase != reserved {
 		return Order{}, false
 	}
-	if !a.open() || a.boot != e.boot {
-		b.drop(a, e)
+	if !w.schedulable() || w.boot != a.boot {
+		b.remove(w, a)
 		b.deny(at)
 		return Order{}, false
 	}
-	e.phase, e.seq, e.open = sending, b.nextSeq, true
+	a.phase, a.seq, a.inFlight = sending, b.nextSeq, true
 	b.nextSeq++
-	return Order{Worker: a.ID, Seq: e.seq, Boot: e.boot}, true
+	return Order{Worker: w.ID, Seq: a.seq, Boot: a.boot}, true
 }
 
-// Started notes that the worker has confirmed the start.
+// Started records that the worker has confirmed the start.
 func (b *Books) Started(at Attempt) {
-	if _, e := b.find(at); e != nil && e.phase == sending {
-		e.phase, e.open = running, false
+	if _, a := b.find(at); a != nil && a.phase == sending {
+		a.phase, a.inFlight = running, false
 	}
 }
 
-// Refused notes that the worker has refused the start. The attempt never starts.
+// Refused records that the worker has refused the start. The attempt is denied.
 func (b *Books) Refused(at Attempt) {
-	if a, e := b.find(at); e != nil && e.phase == sending {
-		b.drop(a, e)
+	if w, a := b.find(at); a != nil && a.phase == sending {
+		b.remove(w, a)
 		b.deny(at)
 	}
 }
 
-// Unsure notes that the start request got no answer. Its room stays booked
-// until an inventory behind the floor settles it.
+// Unsure records that the start request got no answer. Its capacity stays
+// allocated until an inventory with a higher floor shows whether it started.
 func (b *Books) Unsure(at Attempt) {
-	if _, e := b.find(at); e != nil && e.phase == sending {
-		e.open = false
+	if _, a := b.find(at); a != nil && a.phase == sending {
+		a.inFlight = false
 	}
 }
 
-// Renewal is what the next renewal of a worker has to carry.
+// Renewal holds the fields of a lease renewal that is sent to a worker.
 type Renewal struct {
-	// Floor is the sequence number below which no start request can still be
-	// under way. It makes the worker refuse older starts, so the inventory in
-	// its answer is the last word on them.
+	// Floor is the sequence number below which no start request is in flight.
+	// The worker refuses start requests below it from then on, so the inventory
+	// in its answer is final for them.
 	Floor uint64
-	// Forget lists ended attempts that the worker need not report any more.
-	// Only those below the floor are listed: as long as a worker reports an
-	// attempt, a repeated start request cannot run it again.
+	// Forget lists ended attempts that the worker can stop reporting. Only
+	// attempts below the floor are listed: the worker ignores a duplicate start
+	// request as long as it has the attempt, and refuses it once it is below
+	// the floor.
 	Forget []Attempt
 }
 
-// Renewal returns what the next renewal of the worker has to carry.
+// Renewal returns the fields of the next lease renewal of the worker.
 func (b *Books) Renewal(worker string) Renewal {
 	r := Renewal{Floor: b.nextSeq}
-	a := b.workers[worker]
-	if a == nil {
+	w := b.workers[worker]
+	if w == nil {
 		return r
 	}
-	for _, e := range a.attempts {
-		if e.open {
-			r.Floor = min(r.Floor, e.seq)
+	for _, a := range w.allocations {
+		if a.inFlight {
+			r.Floor = min(r.Floor, a.seq)
 		}
 	}
-	for at, e := range a.attempts {
-		if e.noted && e.seq < r.Floor {
+	for at, a := range w.allocations {
+		if a.recorded && a.seq < r.Floor {
 			r.Forget = append(r.Forget, at)
 		}
 	}
 	return r
 }
 
-// Cancel drops the reservation of an attempt that will not be started.
+// Cancel removes the reservation of an attempt that will not be started.
 func (b *Books) Cancel(at Attempt) {
-	if a, e := b.find(at); e != nil && e.phase == reserved {
-		b.drop(a, e)
+	if w, a := b.find(at); a != nil && a.phase == reserved {
+		b.remove(w, a)
 	}
 }
 
-// Lapse drops the reservations whose time is over and returns how many.
+// Lapse removes the expired reservations and returns their number.
 func (b *Books) Lapse(nowMs int64) int {
 	n := 0
-	for at, id := range b.where {
-		a := b.workers[id]
-		if e := a.attempts[at]; e.phase == reserved && e.untilMs <= nowMs {
-			b.drop(a, e)
+	for at, id := range b.workerOf {
+		w := b.workers[id]
+		if a := w.allocations[at]; a.phase == reserved && a.untilMs <= nowMs {
+			b.remove(w, a)
 			n++
 		}
 	}
 	return n
 }
 
-// maxDenied bounds the remembered denials. A denied attempt can only be asked
-// for by a home owner of an older epoch, whose requests are seconds old at
-// most.
+// maxDenied limits the number of denied attempts that are kept. Only an owner of
+// the home group from an older epoch can still ask for a denied attempt, and its
+// requests are at most seconds old.
 const maxDenied = 65536
 
-// deny remembers that the attempt must never start.
+// deny marks the attempt as one that must never start.
 func (b *Books) deny(at Attempt) {
 	if b.denied[at] {
 		return
 	}
 	b.denied[at] = true
-	b.deniedQ = append(b.deniedQ, at)
-	if len(b.deniedQ) > maxDenied {
-		delete(b.denied, b.deniedQ[0])
-		b.deniedQ = b.deniedQ[1:]
+	b.deniedOrder = append(b.deniedOrder, at)
+	if len(b.deniedOrder) > maxDenied {
+		delete(b.denied, b.deniedOrder[0])
+		b.deniedOrder = b.deniedOrder[1:]
 	}
 }
--- a/internal/cell/books/books_test.go
+++ b/internal/cell/books/books_test.go
@@ -10,12 +10,13 @@
 	"lagooncourse/internal/cell/jobs"
 )
 
-// The test below plays a home, two successive keepers of one worker, the
-// worker, and a network that delays and drops requests. It checks the two
-// promises on what the worker really runs.
+// TestPromisesUnderFaults simulates a home group, successive owners of a group,
+// the group's workers, and a network that delays, duplicates and drops requests.
+// It checks two invariants on the tasks that the workers run: no worker is
+// overcommitted, and no task runs twice.
 
-// startMsg is a start request on its way.
-type startMsg struct {
+// startRequest is a start request in flight.
+type startRequest struct {
 	at    Attempt
 	epoch uint64
 	seq   uint64
@@ -23,225 +24,228 @@
 	size  int64
 }
 
-// site is a worker that runs tasks, with the checks that the platform promises.
-type site struct {
+// simWorker is a simulated worker with the checks that the platform guarantees.
+type simWorker struct {
 	id      string
 	cap     int64
 	boot    int64
-	epoch   uint64
-	floor   uint64
-	lease   bool
-	running map[Attempt]int64
-	done    map[Attempt]jobs.How
+	epoch   uint64               // fencing token
+	floor   uint64               // lowest accepted sequence number
+	lease   bool                 // the lease is valid
+	running map[Attempt]int64    // attempt -> size
+	done    map[Attempt]jobs.How // ended attempts that are still reported
 }
 
-func (s *site) used() int64 {
+func (w *simWorker) used() int64 {
 	var sum int64
-	for _, size := range s.running {
+	for _, size := range w.running {
 		sum += size
 	}
 	return sum
 }
 
-// raise takes an epoch, or refuses it.
-func (s *site) raise(epoch uint64) bool {
-	if epoch < s.epoch {
+// acceptEpoch refuses an epoch older than the current one, and adopts a newer one.
+func (w *simWorker) acceptEpoch(epoch uint64) bool {
+	if epoch < w.epoch {
 		return false
 	}
-	if epoch > s.epoch {
-		s.epoch, s.floor = epoch, 0
+	if epoch > w.epoch {
+		w.epoch, w.floor = epoch, 0
 	}
 	return true
 }
 
-func (s *site) start(m startMsg) bool {
-	if !s.raise(m.epoch) || m.seq < s.floor || !s.lease || m.boot != s.boot {
+func (w *simWorker) start(m startRequest) bool {
+	if !w.acceptEpoch(m.epoch) || m.seq < w.floor || !w.lease || m.boot != w.boot {
 		return false
 	}
-	if _, ended := s.done[m.at]; ended {
+	if _, ended := w.done[m.at]; ended {
 		return true
 	}
-	s.running[m.at] = m.size
+	w.running[m.at] = m.size
 	return true
 }
 
-func (s *site) renew(epoch uint64, r Renewal) (Inventory, bool) {
-	if !s.raise(epoch) {
+func (w *simWorker) renew(epoch uint64, r Renewal) (Inventory, bool) {
+	if !w.acceptEpoch(epoch) {
 		return Inventory{}, false
 	}
-	s.floor, s.lease = max(s.floor, r.Floor), true
+	w.floor, w.lease = max(w.floor, r.Floor), true
 	for _, at := range r.Forget {
-		delete(s.done, at)
+		delete(w.done, at)
 	}
-	inv := Inventory{Renewal: r, Boot: s.boot}
-	for at, size := range s.running {
+	inv := Inventory{Renewal: r, Boot: w.boot}
+	for at, size := range w.running {
 		inv.Seen = append(inv.Seen, Seen{Attempt: at, Home: "h", Kind: jobs.Batch, Size: jobs.Size{CPU: size}})
 	}
-	for at, how := range s.done {
+	for at, how := range w.done {
 		inv.Seen = append(inv.Seen, Seen{Attempt: at, Home: "h", How: how})
 	}
 	return inv, true
 }
 
-// keeper is one epoch's owner of all sites.
-type keeper struct {
+// simOwner is the owner of the group in one epoch.
+type simOwner struct {
 	epoch uint64
 	books *Books
 }
 
-// world is everything in the test.
-type world struct {
+// simulation is the complete state of the test.
+type simulation struct {
 	t       *rapid.T
-	sites   map[string]*site
-	keepers []*keeper // the newest last; older ones may wake up
-	net     []startMsg
-	dest    []string // site of each message
+	workers map[string]*simWorker
+	owners  []*simOwner // by epoch; older ones may resume after a pause
+	net     []startRequest
+	dest    []string // worker of each message in net
 	tasks   []jobs.Task
-	sizes   []int64
+	sizes   []int64        // size of each task
 	ran     map[string]int // task -> finished runs
 	nowMs   int64
 }
 
 var testSpec = jobs.Spec{Kind: jobs.Batch, Tasks: 1}
 
-func newWorld(t *rapid.T) *world {
-	w := &world{t: t, sites: map[string]*site{}, ran: map[string]int{}}
+func newSimulation(t *rapid.T) *simulation {
+	sim := &simulation{t: t, workers: map[string]*simWorker{}, ran: map[string]int{}}
 	for _, id := range []string{"w0", "w1"} {
-		w.sites[id] = &site{id: id, cap: 4, boot: 1, running: map[Attempt]int64{}, done: map[Attempt]jobs.How{}}
+		sim.workers[id] = &simWorker{id: id, cap: 4, boot: 1, running: map[Attempt]int64{}, done: map[Attempt]jobs.How{}}
 	}
 	for range 4 {
-		w.tasks = append(w.tasks, jobs.Task{State: jobs.Waiting})
-		w.sizes = append(w.sizes, rapid.Int64Range(1, 4).Draw(t, "size"))
+		sim.tasks = append(sim.tasks, jobs.Task{State: jobs.Waiting})
+		sim.sizes = append(sim.sizes, rapid.Int64Range(1, 4).Draw(t, "size"))
 	}
-	w.takeover()
-	return w
+	sim.takeover()
+	return sim
 }
 
-func (w *world) newest() *keeper { return w.keepers[len(w.keepers)-1] }
+func (sim *simulation) currentOwner() *simOwner { return sim.owners[len(sim.owners)-1] }
 
-// takeover gives the sites to a new keeper, which knows nothing.
-func (w *world) takeover() {
-	k := &keeper{epoch: uint64(len(w.keepers) + 1), books: New()}
+// takeover adds an owner with the next epoch and without allocations.
+func (sim *simulation) takeover() {
+	owner := &simOwner{epoch: uint64(len(sim.owners) + 1), books: New()}
 	var list []Worker
-	for id, s := range w.sites {
-		list = append(list, Worker{ID: id, Cap: jobs.Size{CPU: s.cap}})
+	for id, w := range sim.workers {
+		list = append(list, Worker{ID: id, Cap: jobs.Size{CPU: w.cap}})
 	}
-	k.books.SetWorkers(list)
-	w.keepers = append(w.keepers, k)
+	owner.books.SetWorkers(list)
+	sim.owners = append(sim.owners, owner)
 }
 
-func (w *world) attempt(i, n int) Attempt {
+func (sim *simulation) attempt(i, n int) Attempt {
 	return Attempt{Task: fmt.Sprintf("j.1/%d", i), Number: n}
 }
 
-// place reserves, records the intent and sends the start, as a home with the
-// newest keeper does.
-func (w *world) place(i int) {
-	k := w.newest()
-	if w.tasks[i].State != jobs.Waiting {
+// place reserves capacity with the current owner and records the intent to start
+// the task, as its home group does.
+func (sim *simulation) place(i int) {
+	owner := sim.currentOwner()
+	if sim.tasks[i].State != jobs.Waiting {
 		return
 	}
-	at := w.attempt(i, w.tasks[i].Attempt+1)
-	slot, ok := k.books.Reserve(Ask{Attempt: at, Home: "h", Kind: jobs.Batch, Size: jobs.Size{CPU: w.sizes[i]}, UntilMs: w.nowMs + 10}, w.nowMs)
+	at := sim.attempt(i, sim.tasks[i].Attempt+1)
+	slot, ok := owner.books.Reserve(Ask{Attempt: at, Home: "h", Kind: jobs.Batch, Size: jobs.Size{CPU: sim.sizes[i]}, UntilMs: sim.nowMs + 10}, sim.nowMs)
 	if !ok {
 		return
 	}
-	w.tasks[i] = w.tasks[i].WithStart(jobs.Site{Group: "g", Worker: slot.Worker, Boot: slot.Boot}, w.nowMs)
+	sim.tasks[i] = sim.tasks[i].WithStart(jobs.Site{Group: "g", Worker: slot.Worker, Boot: slot.Boot}, sim.nowMs)
 }
 
-// send has a keeper send the start of a recorded intent. The keeper may be an
-// old one that has just woken up.
-func (w *world) send(k *keeper, i int) {
-	if w.tasks[i].State != jobs.Placed {
+// send lets an owner send the start request of a recorded intent. The owner may
+// be an old one that resumes after a pause.
+func (sim *simulation) send(owner *simOwner, i int) {
+	if sim.tasks[i].State != jobs.Placed {
 		return
 	}
-	at := w.attempt(i, w.tasks[i].Attempt)
-	o, ok := k.books.Begin(at)
+	at := sim.attempt(i, sim.tasks[i].Attempt)
+	o, ok := owner.books.Begin(at)
 	if !ok {
 		return
 	}
-	w.net = append(w.net, startMsg{at: at, epoch: k.epoch, seq: o.Seq, boot: o.Boot, size: w.sizes[i]})
-	w.dest = append(w.dest, o.Worker)
+	sim.net = append(sim.net, startRequest{at: at, epoch: owner.epoch, seq: o.Seq, boot: o.Boot, size: sim.sizes[i]})
+	sim.dest = append(sim.dest, o.Worker)
 }
 
-// deliver brings a message to its site, with or without an answer, and once or
-// twice.
-func (w *world) deliver(n int, answered, again bool) {
-	m, id := w.net[n], w.dest[n]
+// deliver delivers message n to its worker. The answer is lost unless answered is
+// set. With again set, the message stays in the network to be delivered again.
+func (sim *simulation) deliver(n int, answered, again bool) {
+	m, id := sim.net[n], sim.dest[n]
 	if !again {
-		w.net = append(w.net[:n:n], w.net[n+1:]...)
-		w.dest = append(w.dest[:n:n], w.dest[n+1:]...)
+		sim.net = append(sim.net[:n:n], sim.net[n+1:]...)
+		sim.dest = append(sim.dest[:n:n], sim.dest[n+1:]...)
 	}
-	ok := w.sites[id].start(m)
-	k := w.keepers[m.epoch-1]
+	ok := sim.workers[id].start(m)
+	owner := sim.owners[m.epoch-1]
 	switch {
 	case !answered:
-		k.books.Unsure(m.at)
+		owner.books.Unsure(m.at)
 	case ok:
-		k.books.Started(m.at)
+		owner.books.Started(m.at)
 	default:
-		k.books.Refused(m.at)
+		owner.books.Refused(m.at)
 	}
 }
 
-// renew has a keeper renew a site and take its inventory.
-func (w *world) renew(k *keeper, s *site) {
-	if inv, ok := s.renew(k.epoch, k.books.Renewal(s.id)); ok {
-		for _, r := range k.books.Inventory(s.id, inv) {
-			w.end(r)
+// renew lets an owner renew the lease of a worker and apply its inventory.
+func (sim *simulation) renew(owner *simOwner, w *simWorker) {
+	if inv, ok := w.renew(owner.epoch, owner.books.Renewal(w.id)); ok {
+		for _, r := range owner.books.Inventory(w.id, inv) {
+			sim.end(r)
 		}
 	}
 }
 
-// end records a report at home and forgets it at the site.
-func (w *world) end(r Report) {
-	for i := range w.tasks {
-		if r.Attempt.Task != w.attempt(i, 0).Task {
+// end records an end in the home group and marks it as recorded with the current
+// owner.
+func (sim *simulation) end(r Report) {
+	for i := range sim.tasks {
+		if r.Attempt.Task != sim.attempt(i, 0).Task {
 			continue
 		}
-		w.tasks[i] = w.tasks[i].WithEnd(testSpec, jobs.End{Attempt: r.Attempt.Number, How: r.How})
+		sim.tasks[i] = sim.tasks[i].WithEnd(testSpec, jobs.End{Attempt: r.Attempt.Number, How: r.How})
 	}
-	w.newest().books.Forget(r.Attempt)
+	sim.currentOwner().books.Forget(r.Attempt)
 }
 
-// ask has the home ask the newest keeper about a task in doubt.
-func (w *world) ask(i int) {
-	t := w.tasks[i]
+// query lets the home group query the current owner for the state of a placed
+// task.
+func (sim *simulation) query(i int) {
+	t := sim.tasks[i]
 	if t.State != jobs.Placed {
 		return
 	}
-	at := w.attempt(i, t.Attempt)
-	place, r := w.newest().books.Where(Query{Attempt: at, Worker: t.Worker, Boot: t.Boot}, false)
+	at := sim.attempt(i, t.Attempt)
+	place, r := sim.currentOwner().books.Where(Query{Attempt: at, Worker: t.Worker, Boot: t.Boot}, false)
 	switch place {
 	case Ended:
 		r.Attempt = at
-		w.end(r)
+		sim.end(r)
 	case Absent:
-		w.end(Report{Attempt: at, How: jobs.EndAbsent})
+		sim.end(Report{Attempt: at, How: jobs.EndAbsent})
 	}
 }
 
-// restart makes a site forget everything, its fencing token included.
-func (s *site) restart() {
-	clear(s.running)
-	clear(s.done)
-	s.boot++
-	s.epoch, s.floor, s.lease = 0, 0, false
+// restart restarts the worker, which loses all its state, including the fencing
+// token.
+func (w *simWorker) restart() {
+	clear(w.running)
+	clear(w.done)
+	w.boot++
+	w.epoch, w.floor, w.lease = 0, 0, false
 }
 
-// lapse lets a site's lease run out.
-func (s *site) lapse() {
-	s.lease = false
-	for at := range s.running {
-		delete(s.running, at)
-		s.done[at] = jobs.EndStopped
+// expireLease expires the worker's lease, which stops its running attempts.
+func (w *simWorker) expireLease() {
+	w.lease = false
+	for at := range w.running {
+		delete(w.running, at)
+		w.done[at] = jobs.EndStopped
 	}
 }
 
-// finish lets a site finish its first task by name.
-func (w *world) finish(s *site) {
+// finish completes the running task with the lowest name on the worker.
+func (sim *simulation) finish(w *simWorker) {
 	var first Attempt
-	for at := range s.running {
+	for at := range w.running {
 		if first.Task == "" || at.Task < first.Task {
 			first = at
 		}
@@ -249,83 +253,85 @@
 	if first.Task == "" {
 		return
 	}
-	delete(s.running, first)
-	s.done[first] = jobs.EndOK
-	w.ran[first.Task]++
+	delete(w.running, first)
+	w.done[first] = jobs.EndOK
+	sim.ran[first.Task]++
 }
 
-// check verifies the promises.
-func (w *world) check() {
+// checkInvariants fails the test if a worker is overcommitted, or if a task runs
+// on two workers or has finished more than once.
+func (sim *simulation) checkInvariants() {
 	where := map[string]string{}
-	for id, s := range w.sites {
-		assert.Assert(w.t, s.used() <= s.cap, "worker %s runs %d of %d", id, s.used(), s.cap)
-		for at := range s.running {
+	for id, w := range sim.workers {
+		assert.Assert(sim.t, w.used() <= w.cap, "worker %s runs %d of %d", id, w.used(), w.cap)
+		for at := range w.running {
 			other, twice := where[at.Task]
-			assert.Assert(w.t, !twice, "task %s runs on %s and %s", at.Task, other, id)
+			assert.Assert(sim.t, !twice, "task %s runs on %s and %s", at.Task, other, id)
 			where[at.Task] = id
 		}
 	}
-	for task, n := range w.ran {
-		assert.Assert(w.t, n <= 1, "task %s finished %d times", task, n)
+	for task, n := range sim.ran {
+		assert.Assert(sim.t, n <= 1, "task %s finished %d times", task, n)
 	}
 }
 
-// TestPromisesUnderFaults drives the books through delayed, repeated and
-// unanswered starts, paused keepers, takeovers and restarts of workers.
+// TestPromisesUnderFaults runs random steps: delayed, duplicate and unanswered
+// start requests, paused owners, takeovers, expired leases and worker restarts.
 func TestPromisesUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
+		sim := newSimulation(t)
 		for range rapid.IntRange(10, 80).Draw(t, "steps") {
-			w.step()
-			w.check()
+			sim.step()
+			sim.checkInvariants()
 		}
 	})
 }
 
-func (w *world) step() {
-	w.nowMs++
-	i := rapid.IntRange(0, len(w.tasks)-1).Draw(w.t, "task")
-	k := rapid.SampledFrom(w.keepers).Draw(w.t, "keeper")
-	s := w.sites[rapid.SampledFrom([]string{"w0", "w1"}).Draw(w.t, "site")]
-	switch rapid.IntRange(0, 11).Draw(w.t, "step") {
+// step runs one random step.
+func (sim *simulation) step() {
+	sim.nowMs++
+	i := rapid.IntRange(0, len(sim.tasks)-1).Draw(sim.t, "task")
+	owner := rapid.SampledFrom(sim.owners).Draw(sim.t, "owner")
+	w := sim.workers[rapid.SampledFrom([]string{"w0", "w1"}).Draw(sim.t, "worker")]
+	switch rapid.IntRange(0, 11).Draw(sim.t, "step") {
 	case 0, 1, 2:
-		w.place(i)
+		sim.place(i)
 	case 3, 4:
-		w.send(k, i)
+		sim.send(owner, i)
 	case 5, 6:
-		if len(w.net) > 0 {
-			n := rapid.IntRange(0, len(w.net)-1).Draw(w.t, "message")
-			w.deliver(n, rapid.Bool().Draw(w.t, "answered"), rapid.IntRange(0, 3).Draw(w.t, "again") == 0)
+		if len(sim.net) > 0 {
+			n := rapid.IntRange(0, len(sim.net)-1).Draw(sim.t, "message")
+			sim.deliver(n, rapid.Bool().Draw(sim.t, "answered"), rapid.IntRange(0, 3).Draw(sim.t, "again") == 0)
 		}
 	case 7, 8:
-		w.renew(k, s)
+		sim.renew(owner, w)
 	case 9:
-		w.ask(i)
+		sim.query(i)
 	case 10:
-		switch rapid.IntRange(0, 7).Draw(w.t, "fate") {
+		switch rapid.IntRange(0, 7).Draw(sim.t, "event") {
 		case 0:
-			s.restart()
+			w.restart()
 		case 1:
-			s.lapse()
+			w.expireLease()
 		case 2:
-			s.lapse()
-			for _, r := range w.newest().books.LoseWorker(s.id) {
-				w.end(r)
+			w.expireLease()
+			for _, r := range sim.currentOwner().books.LoseWorker(w.id) {
+				sim.end(r)
 			}
 		default:
-			w.finish(s)
+			sim.finish(w)
 		}
 	case 11:
-		if rapid.IntRange(0, 3).Draw(w.t, "takeover") == 0 {
-			w.takeover()
+		if rapid.IntRange(0, 3).Draw(sim.t, "takeover") == 0 {
+			sim.takeover()
 		} else {
-			w.newest().books.Lapse(w.nowMs)
+			sim.currentOwner().books.Lapse(sim.nowMs)
 		}
 	}
 }
 
-// TestEvict checks that eviction stops the least, and that the room it makes
-// goes to the urgent attempt alone.
+// TestEvict checks that Evict selects the victims with the smallest total size,
+// and that only the urgent attempt can use the capacity that they free.
 func TestEvict(t *testing.T) {
 	b := New()
 	b.SetWorkers([]Worker{{ID: "w0", Cap: jobs.Size{CPU: 8}}, {ID: "w1", Cap: jobs.Size{CPU: 8}}})
@@ -353,7 +359,7 @@
 	}})
 	other := Ask{Attempt: Attempt{Task: "o", Number: 1}, Kind: jobs.Batch, Size: jobs.Size{CPU: 1}}
 	_, ok = b.Reserve(other, 2)
-	assert.Assert(t, !ok, "the room is kept for the urgent attempt")
+	assert.Assert(t, !ok, "the capacity is held for the urgent attempt")
 	slot, ok := b.Reserve(urgent, 2)
 	assert.Assert(t, ok)
 	assert.Equal(t, slot.Worker, "w1")
--- a/internal/cell/books/evict.go
+++ b/internal/cell/books/evict.go
@@ -6,60 +6,63 @@
 	"lagooncourse/internal/cell/jobs"
 )
 
-// Evict chooses batch attempts to stop so that an urgent ask fits, and keeps
-// the room that they leave for it until untilMs. It returns none if the ask
-// cannot be made to fit that way, or if room is being made for it already.
+// Evict selects running batch attempts of one worker to stop so that an urgent
+// ask fits, and holds the worker's free capacity for the ask until untilMs. It
+// returns nil if no selection makes the ask fit, or if capacity is already held
+// for it.
 //
-// The worker chosen is the one where the least is stopped. On it the youngest
-// attempts go first, since they lose the least.
+// It selects the worker whose victims take the smallest dominant share of its
+// capacity. On a worker the attempts that started last are stopped first because
+// they lose the least progress.
 func (b *Books) Evict(ask Ask, nowMs, untilMs int64) []Attempt {
-	var best *account
-	var bestVictims []*entry
+	var best *workerState
+	var bestVictims []*allocation
 	var bestSize jobs.Size
-	for _, id := range b.order {
-		a := b.workers[id]
-		if nowMs < a.savedMs && a.savedFor == ask.Attempt {
+	for _, id := range b.workerIDs {
+		w := b.workers[id]
+		if nowMs < w.heldUntilMs && w.heldFor == ask.Attempt {
 			return nil
 		}
-		if !a.open() || a.mode == Probe || nowMs < a.savedMs || contains(ask.Avoid, id) {
+		if !w.schedulable() || w.mode == Probe || nowMs < w.heldUntilMs || contains(ask.Exclude, id) {
 			continue
 		}
-		victims, size, ok := a.victims(ask.Size)
-		if ok && (best == nil || size.Dominant(a.Cap) < bestSize.Dominant(best.Cap)) {
-			best, bestVictims, bestSize = a, victims, size
+		victims, size, ok := w.victims(ask.Size)
+		if ok && (best == nil || size.Dominant(w.Cap) < bestSize.Dominant(best.Cap)) {
+			best, bestVictims, bestSize = w, victims, size
 		}
 	}
 	if best == nil {
 		return nil
 	}
-	best.savedFor, best.savedMs = ask.Attempt, untilMs
+	best.heldFor, best.heldUntilMs = ask.Attempt, untilMs
 	list := make([]Attempt, len(bestVictims))
-	for i, e := range bestVictims {
-		list[i] = e.attempt
+	for i, a := range bestVictims {
+		list[i] = a.attempt
 	}
 	return list
 }
 
-// victims returns the batch attempts to stop on one worker, and their size.
-func (a *account) victims(need jobs.Size) (victims []*entry, size jobs.Size, ok bool) {
-	var batch []*entry
-	for _, e := range a.attempts {
-		if e.phase == running && e.kind == jobs.Batch {
-			batch = append(batch, e)
+// victims returns the batch attempts to stop so that need fits on the worker, and
+// their total size.
+func (w *workerState) victims(need jobs.Size) (victims []*allocation, size jobs.Size, ok bool) {
+	var candidates []*allocation
+	for _, a := range w.allocations {
+		if a.phase == running && a.kind == jobs.Batch {
+			candidates = append(candidates, a)
 		}
 	}
-	sort.Slice(batch, func(i, j int) bool {
-		if batch[i].seq != batch[j].seq {
-			return batch[i].seq > batch[j].seq
+	sort.Slice(candidates, func(i, j int) bool {
+		if candidates[i].seq != candidates[j].seq {
+			return candidates[i].seq > candidates[j].seq
 		}
-		return batch[i].attempt.Task < batch[j].attempt.Task
+		return candidates[i].attempt.Task < candidates[j].attempt.Task
 	})
-	room := a.room()
-	for _, e := range batch {
-		if need.Fits(room) {
+	free := w.free()
+	for _, a := range candidates {
+		if need.Fits(free) {
 			break
 		}
-		victims, size, room = append(victims, e), size.Plus(e.size), room.Plus(e.size)
+		victims, size, free = append(victims, a), size.Plus(a.size), free.Plus(a.size)
 	}
-	return victims, size, need.Fits(room)
+	return victims, size, need.Fits(free)
 }
--- a/internal/cell/books/report.go
+++ b/internal/cell/books/report.go
@@ -2,7 +2,7 @@
 
 import "lagooncourse/internal/cell/jobs"
 
-// Report tells the group that owns a job how an attempt ended.
+// Report is the end of an attempt, for its home group.
 type Report struct {
 	Attempt    Attempt
 	Home       string
@@ -18,205 +18,208 @@
 	Home       string
 	Kind       jobs.Kind
 	Size       jobs.Size
-	How        jobs.How // empty while it runs
+	How        jobs.How // empty while the attempt runs
 	Result     string
 	Checkpoint string
 }
 
-// Inventory is what a worker reports about itself.
+// Inventory is a worker's answer to a lease renewal.
 type Inventory struct {
-	Renewal // that it answers
+	Renewal // the renewal that it answers
 	Boot    int64
-	Seen    []Seen
+	Seen    []Seen // attempts that run or have ended
 }
 
-// Inventory reconciles a worker's account with what the worker reports. It
-// returns the attempts whose end has become known by it.
+// Inventory reconciles the worker's allocations with its inventory. It returns
+// the ends of attempts that were not known before.
 func (b *Books) Inventory(worker string, inv Inventory) []Report {
-	a := b.workers[worker]
-	if a == nil {
+	w := b.workers[worker]
+	if w == nil {
 		return nil
 	}
-	a.boot = inv.Boot
+	w.boot = inv.Boot
 	for _, at := range inv.Forget {
-		if e := a.attempts[at]; e != nil && e.noted {
-			b.drop(a, e)
+		if a := w.allocations[at]; a != nil && a.recorded {
+			b.remove(w, a)
 		}
 	}
-	var news []Report
-	there := make(map[Attempt]bool, len(inv.Seen))
+	var reports []Report
+	reported := make(map[Attempt]bool, len(inv.Seen))
 	for _, s := range inv.Seen {
-		there[s.Attempt] = true
-		if r, ok := b.see(a, s); ok {
-			news = append(news, r)
+		reported[s.Attempt] = true
+		if r, ok := b.reconcileReported(w, s); ok {
+			reports = append(reports, r)
 		}
 	}
-	for at, e := range a.attempts {
-		if !there[at] {
-			if r, ok := b.miss(a, e, inv.Floor); ok {
-				news = append(news, r)
+	for at, a := range w.allocations {
+		if !reported[at] {
+			if r, ok := b.reconcileMissing(w, a, inv.Floor); ok {
+				reports = append(reports, r)
 			}
 		}
 	}
-	a.ready, a.lost = true, false
-	return news
+	w.ready, w.lost = true, false
+	return reports
 }
 
-// see takes one attempt that the worker reports.
-func (b *Books) see(a *account, s Seen) (Report, bool) {
-	e := a.attempts[s.Attempt]
-	if e == nil {
-		e = &entry{attempt: s.Attempt, home: s.Home, size: s.Size, kind: s.Kind}
-		b.book(a, e)
+// reconcileReported updates the allocation of an attempt that the worker
+// reports. It returns true if the attempt's end was not known before.
+func (b *Books) reconcileReported(w *workerState, s Seen) (Report, bool) {
+	a := w.allocations[s.Attempt]
+	if a == nil {
+		a = &allocation{attempt: s.Attempt, home: s.Home, size: s.Size, kind: s.Kind}
+		b.allocate(w, a)
 	}
 	if s.How == "" {
-		if e.phase != ended {
-			e.phase, e.open = running, false
+		if a.phase != ended {
+			a.phase, a.inFlight = running, false
 		}
 		return Report{}, false
 	}
-	if e.phase == ended {
+	if a.phase == ended {
 		return Report{}, false
 	}
 	end := Report{
-		Attempt: s.Attempt, Home: e.home, Worker: a.ID, How: s.How, Result: s.Result, Checkpoint: s.Checkpoint,
+		Attempt: s.Attempt, Home: a.home, Worker: w.ID, How: s.How, Result: s.Result, Checkpoint: s.Checkpoint,
 	}
-	b.finish(a, e, end)
+	b.finish(w, a, end)
 	return end, true
 }
 
-// miss takes one booked attempt that the worker does not report.
-func (b *Books) miss(a *account, e *entry, floor uint64) (Report, bool) {
+// reconcileMissing updates an allocation that the worker does not report. It
+// returns true if this shows that the attempt has ended.
+func (b *Books) reconcileMissing(w *workerState, a *allocation, floor uint64) (Report, bool) {
 	how := jobs.EndLost
-	switch e.phase {
+	switch a.phase {
 	case reserved, ended:
 		return Report{}, false
 	case running:
-		// A start that was confirmed while the renewal was under way may be
-		// missing from its answer.
-		if e.seq >= floor {
+		// A start that was confirmed while the renewal was in flight may be
+		// missing from the inventory.
+		if a.seq >= floor {
 			return Report{}, false
 		}
 	case sending:
-		if e.open || e.seq >= floor {
+		if a.inFlight || a.seq >= floor {
 			return Report{}, false
 		}
-		// A worker that remembers its past has never run the attempt. One
-		// that restarted may have.
-		if e.boot == a.boot {
+		// Without a restart the worker would still report the attempt, so it
+		// has never run. After a restart it may have run.
+		if a.boot == w.boot {
 			how = jobs.EndAbsent
 		}
 	}
-	end := Report{Attempt: e.attempt, Home: e.home, Worker: a.ID, How: how}
-	b.finish(a, e, end)
-	b.deny(e.attempt)
+	end := Report{Attempt: a.attempt, Home: a.home, Worker: w.ID, How: how}
+	b.finish(w, a, end)
+	b.deny(a.attempt)
 	return end, true
 }
 
-// LoseWorker ends every attempt on a worker whose lease has surely run out. The
-// worker is closed until its next inventory.
+// LoseWorker ends every attempt on a worker whose lease is certain to have
+// expired. The worker is not schedulable until its next inventory.
 func (b *Books) LoseWorker(worker string) []Report {
-	a := b.workers[worker]
-	if a == nil {
+	w := b.workers[worker]
+	if w == nil {
 		return nil
 	}
-	a.ready, a.lost = false, true
-	var news []Report
-	for at, e := range a.attempts {
-		switch e.phase {
+	w.ready, w.lost = false, true
+	var reports []Report
+	for at, a := range w.allocations {
+		switch a.phase {
 		case reserved:
-			b.drop(a, e)
+			b.remove(w, a)
 			b.deny(at)
 		case sending, running:
-			end := Report{Attempt: at, Home: e.home, Worker: worker, How: jobs.EndLost}
-			b.finish(a, e, end)
+			end := Report{Attempt: at, Home: a.home, Worker: worker, How: jobs.EndLost}
+			b.finish(w, a, end)
 			b.deny(at)
-			news = append(news, end)
+			reports = append(reports, end)
 		}
 	}
-	return news
+	return reports
 }
 
-// Unready closes a worker until its next inventory, without ending anything.
+// Unready makes a worker unschedulable until its next inventory, without ending
+// its attempts.
 func (b *Books) Unready(worker string) {
-	if a := b.workers[worker]; a != nil {
-		a.ready = false
+	if w := b.workers[worker]; w != nil {
+		w.ready = false
 	}
 }
 
-// Forget notes that an attempt's home has recorded its end. It is dropped once
-// its worker has been told.
+// Forget records that the attempt's home group has recorded its end. The attempt
+// is removed after a renewal has listed it to the worker.
 func (b *Books) Forget(at Attempt) {
-	if _, e := b.find(at); e != nil && e.phase == ended {
-		e.noted = true
+	if _, a := b.find(at); a != nil && a.phase == ended {
+		a.recorded = true
 	}
 }
 
-// Place is the answer to Where.
+// Place is the state of an attempt as returned by Where.
 type Place string
 
-// The places.
+// The states that Where returns.
 const (
-	There  Place = "there"  // it runs, or may run
-	Ended  Place = "ended"  // it has ended; the report says how
-	Absent Place = "absent" // it is not there and will never start
-	Unsure Place = "unsure" // ask again later
+	There  Place = "there"  // the attempt runs
+	Ended  Place = "ended"  // the attempt has ended; the report has the details
+	Absent Place = "absent" // the attempt has not started and never will
+	Unsure Place = "unsure" // not known yet; query again later
 )
 
-// Query asks what became of an attempt that was meant for a worker.
+// Query asks for the state of an attempt that was placed on a worker.
 type Query struct {
 	Attempt Attempt
 	Worker  string
-	Boot    int64 // of the worker, when it was chosen
+	Boot    int64 // the worker's boot id when it was selected
 }
 
-// Where answers a query. An attempt that is absent or lost is denied from then
-// on, so the answer stays true however late an older start request arrives.
+// Where answers a query. It denies an attempt that it reports as absent or lost,
+// so that a late start request cannot make the answer wrong.
 //
-// The argument expired says that every lease given out before the books were
-// opened has surely run out, so that a worker that is not even listed runs
-// nothing of ours.
+// expired states that every lease granted by previous owners is certain to have
+// expired. A worker that is not listed then runs no attempt of the group.
 func (b *Books) Where(q Query, expired bool) (Place, Report) {
-	if a, e := b.find(q.Attempt); e != nil {
-		switch e.phase {
+	if w, a := b.find(q.Attempt); a != nil {
+		switch a.phase {
 		case ended:
-			return Ended, e.end
+			return Ended, a.end
 		case running:
 			return There, Report{}
 		case sending:
 			return Unsure, Report{}
 		}
-		b.drop(a, e)
+		b.remove(w, a)
 		b.deny(q.Attempt)
 		return Absent, Report{}
 	}
-	a := b.workers[q.Worker]
+	w := b.workers[q.Worker]
 	switch {
-	case a != nil && a.ready && a.boot == q.Boot:
+	case w != nil && w.ready && w.boot == q.Boot:
 		b.deny(q.Attempt)
 		return Absent, Report{}
-	case a != nil && (a.ready || a.lost), a == nil && expired:
+	case w != nil && (w.ready || w.lost), w == nil && expired:
 		b.deny(q.Attempt)
 		return Ended, Report{Attempt: q.Attempt, Worker: q.Worker, How: jobs.EndLost}
 	}
 	return Unsure, Report{}
 }
 
-// Reports returns the ends that no home has recorded yet, by home group.
+// Reports returns the ends that the home groups have not recorded yet, by home
+// group.
 func (b *Books) Reports() map[string][]Report {
 	byHome := map[string][]Report{}
-	for _, id := range b.order {
-		for _, e := range b.workers[id].attempts {
-			if e.phase == ended && !e.noted {
-				byHome[e.home] = append(byHome[e.home], e.end)
+	for _, id := range b.workerIDs {
+		for _, a := range b.workers[id].allocations {
+			if a.phase == ended && !a.recorded {
+				byHome[a.home] = append(byHome[a.home], a.end)
 			}
 		}
 	}
 	return byHome
 }
 
-// Booked is one attempt that holds room.
-type Booked struct {
+// RunningAttempt is a running attempt with its allocation.
+type RunningAttempt struct {
 	Attempt Attempt
 	Home    string
 	Worker  string
@@ -224,23 +227,23 @@
 	Size    jobs.Size
 }
 
-// Running returns the attempts that run on the worker, as far as is known.
-func (b *Books) Running(worker string) []Booked {
-	a := b.workers[worker]
-	if a == nil {
+// Running returns the attempts that are confirmed to run on the worker.
+func (b *Books) Running(worker string) []RunningAttempt {
+	w := b.workers[worker]
+	if w == nil {
 		return nil
 	}
-	var list []Booked
-	for at, e := range a.attempts {
-		if e.phase == running {
-			list = append(list, Booked{Attempt: at, Home: e.home, Worker: worker, Kind: e.kind, Size: e.size})
+	var list []RunningAttempt
+	for at, a := range w.allocations {
+		if a.phase == running {
+			list = append(list, RunningAttempt{Attempt: at, Home: a.home, Worker: worker, Kind: a.kind, Size: a.size})
 		}
 	}
 	return list
 }
 
-// WorkerOf returns the worker on which the attempt is booked.
+// WorkerOf returns the worker to which the attempt is allocated.
 func (b *Books) WorkerOf(at Attempt) (string, bool) {
-	id, ok := b.where[at]
+	id, ok := b.workerOf[at]
 	return id, ok
 }
