--- a/internal/cell/config/config.go
+++ b/internal/cell/config/config.go
@@ -1,17 +1,20 @@
-// Package config is the configuration of a cell: the teams' customer plans,
-// what each plan may use, the keys, the availability zones that are out of
-// service, and how each team's upper limit is divided among the groups.
+// Package config implements the configuration of a cell: the teams' customer
+// plans and allow lists, the API keys, the availability zones that are out of
+// service, and the division of each team's limit among the groups.
 //
-// All of it is one pure function of the records of the log's stream "cell".
-// Every entry host applies the same records in the same order and reaches the
-// same state. Operators race one another, appends are answered late or never,
-// and an edit may be sent twice, so an edit carries an id and the version of
-// the object that it is based on. The first edit by offset wins; a later one
-// based on the same version is rejected at apply time, everywhere alike. An
-// edit whose id has been seen is not applied again.
+// The configuration is a replicated state machine over the records of the log
+// stream "cell". Every entry host applies the same records in the same order and
+// reaches the same state.
 //
-// Rejected way: letting the entry host that takes the edit decide. It would
-// need a lock that outlives the host, or a consensus group.
+// Edits use optimistic concurrency control because operators can edit at the
+// same time, an append may be confirmed late or never, and an edit may be sent
+// twice. An edit carries an id and the version of the object on which it is
+// based. Of several edits based on the same version, the one with the lowest
+// offset is accepted and the others are rejected when they are applied. An edit
+// with a known id is ignored.
+//
+// Deciding on the entry host that receives the edit was rejected: it would need
+// a lock that outlives the host, or a consensus group.
 //
 // # Usage
 //
@@ -37,32 +40,32 @@
 // Stream is the log stream that holds the configuration.
 const Stream = "cell"
 
-// OpenTeam is the team to which work without a key belongs. Its plan's allow
-// list names the queues and services that are open to all.
+// OpenTeam is the team of requests without a key. Its allow list names the queues
+// and services that can be used without a key.
 const OpenTeam = "open"
 
-// Version identifies a state of one object. It is 1 more than the offset of
-// the edit that made it; 0 is the version of an object that never existed.
+// Version is the version of one object: the offset of its last accepted edit
+// plus 1, or 0 if it has never been edited.
 type Version int64
 
 // Plan is a team's customer plan.
 type Plan struct {
 	Team    string    `json:"team"`
-	Share   int64     `json:"share"` // weight among the teams when the fleet is full
-	Limit   jobs.Size `json:"limit"` // most that may run at once in the whole fleet
+	Share   int64     `json:"share"` // weight in fair sharing
+	Limit   jobs.Size `json:"limit"` // upper limit of running work in the whole fleet
 	Version Version   `json:"version"`
 	Deleted bool      `json:"deleted,omitempty"`
 }
 
-// Allow is the list of what a plan may use, as "kind:name" items such as
-// "queue:deep", "service:triage" or "az:west"; "kind:*" stands for all names.
+// Allow is the allow list of a team's plan. Its items have the form "kind:name",
+// such as "queue:deep", "service:triage" or "az:west"; "kind:*" matches all names.
 type Allow struct {
 	Team    string   `json:"team"`
 	Items   []string `json:"items"` // sorted
 	Version Version  `json:"version"`
 }
 
-// Has reports whether the list contains the item or its kind's wildcard.
+// Has reports whether the list contains kind:name or the wildcard of the kind.
 func (a Allow) Has(kind, name string) bool {
 	for _, item := range a.Items {
 		k, n, _ := strings.Cut(item, ":")
@@ -92,8 +95,8 @@
 	return a
 }
 
-// Key is a submitter's key. Only a hash of its secret is kept. A withdrawn key
-// stays in the state, so a late edit cannot bring it back.
+// Key is an API key. Only the hash of its secret is stored. A withdrawn key stays
+// in the state with its version, so that a late edit cannot restore it.
 type Key struct {
 	ID        string  `json:"id"`
 	Team      string  `json:"team"`
@@ -102,53 +105,54 @@
 	Version   Version `json:"version"`
 }
 
-// Az is the service state of an availability zone.
+// Az is the configuration of an availability zone.
 type Az struct {
 	Name    string  `json:"name"`
-	Out     bool    `json:"out"`
+	Out     bool    `json:"out"` // taken out of service by an operator
 	Version Version `json:"version"`
 }
 
-// Grant is the part of a team's limit that one group holds.
+// Grant is the part of a team's limit that is assigned to one group.
 type Grant struct {
 	Team   string
 	Group  string
 	Amount jobs.Size
 }
 
-// Result says what became of an edit.
+// Result is the outcome of an edit.
 type Result struct {
 	Edit     string  `json:"edit"`
 	Accepted bool    `json:"accepted"`
 	Offset   int64   `json:"offset"`
-	Version  Version `json:"version"`          // of the object after the edit
-	Winner   string  `json:"winner,omitempty"` // for a conflict: who made the version that stands
+	Version  Version `json:"version"`          // version of the object after the edit
+	Winner   string  `json:"winner,omitempty"` // on a conflict: operator of the last accepted edit
 }
 
-// State is the configuration after some record. It is immutable: Apply returns
-// a new one that shares the unchanged maps.
+// State is the configuration at one offset. It is immutable: With returns a new
+// State that shares the unchanged maps.
 type State struct {
-	Offset  int64 // of the newest record; -1 before the first
+	Offset  int64 // offset of the last applied record; -1 before the first
 	Plans   map[string]Plan
 	Allows  map[string]Allow
 	Keys    map[string]Key
 	Azs     map[string]Az
-	Authors map[string]string               // object -> author of its newest edit
+	Authors map[string]string               // object -> operator of its last accepted edit
 	Grants  map[string]map[string]jobs.Size // team -> group -> amount
-	Fences  map[string]Fence                // group -> newest grant writer
-	Results map[string]Result               // edit id -> result, the newest maxResults
+	Fences  map[string]Fence                // group -> highest fence of its grant records
+	Results map[string]Result               // edit id -> result, of the last maxResults edits
 	Recent  []string                        // ids in Results, oldest first
 }
 
-// Fence orders the grant records of a group: a record is void unless its
-// (epoch, seq) is higher than the newest one.
+// Fence is the fencing token of a group's grant records. A record is ignored
+// unless its fence is higher than that of every earlier record of the group.
 type Fence struct {
-	Epoch uint64
+	Epoch uint64 // compared first
 	Seq   uint64
 }
 
-// maxResults bounds the edits whose repetition is recognized. An edit is
-// repeated within its client's timeout, so a day's worth is ample.
+// maxResults limits the number of edit ids kept for the detection of duplicates.
+// Clients retry an edit only within their timeout, so 8192 ids, which cover about
+// a day of edits, are sufficient.
 const maxResults = 8192
 
 func newState() *State {
@@ -159,14 +163,15 @@
 	}
 }
 
-// HashSecret returns the hash under which a key's secret is kept.
+// HashSecret returns the SHA-256 hash of a key's secret in hexadecimal form.
 func HashSecret(secret string) string {
 	sum := sha256.Sum256([]byte(secret))
 	return hex.EncodeToString(sum[:])
 }
 
-// TeamOfKey returns the team of a key in the form "id.secret". The error is
-// NoKey for an unknown key and Denied for a withdrawn one.
+// TeamOfKey returns the team of a key in the form "id.secret". The error code is
+// NoKey for an unknown key, and Denied for a withdrawn one or a team without a
+// plan.
 func (s *State) TeamOfKey(key string) (team string, err error) {
 	id, secret, _ := strings.Cut(key, ".")
 	k, ok := s.Keys[id]
@@ -182,7 +187,8 @@
 	return k.Team, nil
 }
 
-// Allowed returns an error unless the team's plan may use the named thing.
+// Allowed returns an error unless the team has a plan and its allow list contains
+// kind:name.
 func (s *State) Allowed(team, kind, name string) error {
 	if p, ok := s.Plans[team]; !ok || p.Deleted {
 		return fault.New(fault.Denied, fault.NotRun, "team %q has no plan", team)
@@ -193,10 +199,10 @@
 	return nil
 }
 
-// AzOut reports whether operators have taken the availability zone out.
+// AzOut reports whether the availability zone is out of service.
 func (s *State) AzOut(az string) bool { return s.Azs[az].Out }
 
-// Limit returns the team's upper limit; zero without a plan.
+// Limit returns the team's limit, or zero if it has no plan.
 func (s *State) Limit(team string) jobs.Size {
 	p, ok := s.Plans[team]
 	if !ok || p.Deleted {
@@ -205,7 +211,8 @@
 	return p.Limit
 }
 
-// VersionOf returns the version of an object such as "plan/lab" or "az/west".
+// VersionOf returns the version of an object such as "plan/lab" or "az/west". It
+// returns 0 for an unknown object.
 func (s *State) VersionOf(object string) Version {
 	kind, name, _ := strings.Cut(object, "/")
 	switch kind {
@@ -221,7 +228,8 @@
 	return 0
 }
 
-// Machine follows the stream "cell". Readers take the state without a lock.
+// Machine is the state machine of the stream "cell". State can be called
+// concurrently with the other methods.
 type Machine struct {
 	state atomic.Pointer[State]
 }
@@ -233,10 +241,10 @@
 	return m
 }
 
-// State returns the newest state.
+// State returns the current state.
 func (m *Machine) State() *State { return m.state.Load() }
 
-// Apply takes the next record. A record that cannot be decoded changes nothing.
+// Apply applies the next record. A record that cannot be decoded is ignored.
 func (m *Machine) Apply(offset int64, data []byte) {
 	rec, err := frame.Decode[Record](data)
 	if err != nil {
@@ -248,7 +256,7 @@
 // Snapshot returns the encoded state.
 func (m *Machine) Snapshot() ([]byte, error) { return frame.Encode(m.state.Load()) }
 
-// Restore replaces the state with an encoded one.
+// Restore replaces the state with the result of Snapshot.
 func (m *Machine) Restore(data []byte) error {
 	s, err := frame.Decode[State](data)
 	if err != nil {
@@ -258,7 +266,8 @@
 	return nil
 }
 
-func put[V any](m map[string]V, k string, v V) map[string]V {
+// cloneAndSet returns a copy of m in which k has the value v.
+func cloneAndSet[V any](m map[string]V, k string, v V) map[string]V {
 	c := maps.Clone(m)
 	if c == nil {
 		c = map[string]V{}
--- a/internal/cell/config/config_test.go
+++ b/internal/cell/config/config_test.go
@@ -12,15 +12,15 @@
 	"lagooncourse/internal/cell/jobs"
 )
 
-// naive is the configuration rebuilt from all records, with one plain map and
-// no sharing.
+// naive is a reference model of the configuration. It is rebuilt from all records
+// and shares no maps between states.
 type naive struct {
 	version map[string]Version // object -> version
-	value   map[string]string  // object -> content
+	value   map[string]string  // object -> content as text
 	results map[string]Result
 	authors map[string]string
-	limit   map[string]int64            // team -> processor limit
-	grants  map[string]map[string]int64 // team -> group -> processors
+	limit   map[string]int64            // team -> CPU limit
+	grants  map[string]map[string]int64 // team -> group -> CPU grant
 	fences  map[string]Fence
 }
 
@@ -88,7 +88,7 @@
 	}
 }
 
-// valueOf renders what the real state holds for an object.
+// valueOf returns the content of an object in s in the form that naive uses.
 func valueOf(s *State, kind, name string) string {
 	switch kind {
 	case "plan":
@@ -119,8 +119,8 @@
 
 var names = []string{"a", "b"}
 
-// drawRecord draws an edit that may race with others and repeat an id, or a
-// grant that may be late.
+// drawRecord draws an edit, which may conflict with earlier ones or reuse an id,
+// or a grant record, which may have a stale fence.
 func drawRecord(t *rapid.T, versions []Version) Record {
 	name := rapid.SampledFrom(names).Draw(t, "name")
 	if rapid.Bool().Draw(t, "grant") {
@@ -141,8 +141,8 @@
 	return Record{Edit: &e}
 }
 
-// TestAgainstNaive compares the state with one rebuilt from all records after
-// every record, and checks the sums of grants and ceilings.
+// TestAgainstNaive compares the state with the reference model after every
+// record. It checks that ceilings never exceed a team's limit.
 func TestAgainstNaive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := NewMachine()
@@ -163,7 +163,7 @@
 	})
 }
 
-// restart moves the state through a snapshot into a new machine.
+// restart restores a snapshot of m into a new machine.
 func restart(t *rapid.T, m *Machine) *Machine {
 	data, err := m.Snapshot()
 	assert.NilError(t, err)
@@ -191,7 +191,8 @@
 	assert.Assert(t, maps.Equal(s.Results, n.results), "results %v, want %v", s.Results, n.results)
 }
 
-// TestKeys checks what a key gives access to in each of its states.
+// TestKeys checks TeamOfKey for an unknown, valid and withdrawn key and for a key
+// of a team without a plan, and the matching of allow list items.
 func TestKeys(t *testing.T) {
 	m := NewMachine()
 	apply := func(offset int64, e Edit) {
@@ -225,7 +226,7 @@
 	assert.ErrorContains(t, s.Allowed("lab", "queue", "open"), `does not allow queue "open"`)
 }
 
-// FuzzApply feeds the machine records that nobody should have written.
+// FuzzApply checks that invalid records do not crash the machine.
 func FuzzApply(f *testing.F) {
 	data, err := frame.Encode(Record{Edit: &Edit{ID: "e", Kind: AzOut, Name: "a"}})
 	assert.NilError(f, err)
--- a/internal/cell/config/edit.go
+++ b/internal/cell/config/edit.go
@@ -9,10 +9,10 @@
 	"lagooncourse/internal/cell/jobs"
 )
 
-// Kind says what an edit does.
+// Kind is the operation of an edit.
 type Kind string
 
-// The kinds of edit.
+// The operations.
 const (
 	SetPlan     Kind = "setPlan"
 	DeletePlan  Kind = "deletePlan"
@@ -24,22 +24,23 @@
 	AzBack      Kind = "azBack"
 )
 
-// Edit is one operator's change of one object.
+// Edit is an operator's change to one object.
 type Edit struct {
-	ID   string  `json:"id"`   // repeats with the same id are one edit
-	Kind Kind    `json:"kind"` //
+	ID   string  `json:"id"` // idempotency key
+	Kind Kind    `json:"kind"`
 	Name string  `json:"name"` // team, key id or availability zone
-	Base Version `json:"base"` // version of the object that the operator saw
-	By   string  `json:"by"`   // the operator, for conflicts and the log
+	Base Version `json:"base"` // version of the object on which the edit is based
+	By   string  `json:"by"`   // name of the operator
 
 	Share  int64     `json:"share,omitempty"`  // for SetPlan
 	Limit  jobs.Size `json:"limit,omitzero"`   // for SetPlan
 	Items  []string  `json:"items,omitempty"`  // for AddAllow and RemoveAllow
 	Team   string    `json:"team,omitempty"`   // for GiveKey
-	Secret string    `json:"secret,omitempty"` // for GiveKey: HashSecret of the key's secret
+	Secret string    `json:"secret,omitempty"` // for GiveKey: the secret's HashSecret value
 }
 
-// Object returns the object that the edit changes, such as "plan/lab".
+// Object returns the name of the object that the edit changes, such as
+// "plan/lab".
 func (e Edit) Object() string {
 	switch e.Kind {
 	case SetPlan, DeletePlan:
@@ -52,12 +53,13 @@
 	return "az/" + e.Name
 }
 
-// Bounds of an edit.
+// Limits of an edit.
 const (
 	MaxShare = 1_000_000
-	MaxItems = 1000
+	MaxItems = 1000 // items of one edit
 )
 
+// itemKinds lists the valid kinds of allow list items.
 var itemKinds = []string{"queue", "service", "az"}
 
 // Check returns an error that names the first invalid field and its value.
@@ -84,7 +86,7 @@
 	case DeletePlan, WithdrawKey, AzOut, AzBack:
 		return nil
 	}
-	return fault.Field("kind", e.Kind, "is not a known edit")
+	return fault.Field("kind", e.Kind, "must be a known kind of edit")
 }
 
 func (e Edit) checkPlan() error {
@@ -121,13 +123,13 @@
 	return nil
 }
 
-// Record is one record of the stream: an edit, or a change of grants.
+// Record is one record of the stream. Exactly one field is set.
 type Record struct {
 	Edit   *Edit
 	Grants *Grants
 }
 
-// With returns the state after the record at the offset.
+// With returns the state after applying the record at the given offset.
 func (s *State) With(offset int64, rec Record) *State {
 	n := *s
 	n.Offset = offset
@@ -140,7 +142,8 @@
 	return &n
 }
 
-// applyEdit changes n, which is a fresh copy that shares its maps with others.
+// applyEdit applies an edit to n, a new copy whose maps are shared with older
+// states and must not be modified in place.
 func (n *State) applyEdit(offset int64, e Edit) {
 	if _, seen := n.Results[e.ID]; seen {
 		return
@@ -150,35 +153,36 @@
 	if e.Check() == nil && r.Version == e.Base {
 		r.Accepted, r.Version = true, Version(offset+1)
 		n.applyAccepted(e, r.Version)
-		n.Authors = put(n.Authors, object, e.By)
+		n.Authors = cloneAndSet(n.Authors, object, e.By)
 	} else {
 		r.Winner = n.Authors[object]
 	}
-	n.remember(r)
+	n.addResult(r)
 }
 
 func (n *State) applyAccepted(e Edit, v Version) {
 	switch e.Kind {
 	case SetPlan:
-		n.Plans = put(n.Plans, e.Name, Plan{Team: e.Name, Share: e.Share, Limit: e.Limit, Version: v})
+		n.Plans = cloneAndSet(n.Plans, e.Name, Plan{Team: e.Name, Share: e.Share, Limit: e.Limit, Version: v})
 	case DeletePlan:
-		n.Plans = put(n.Plans, e.Name, Plan{Team: e.Name, Version: v, Deleted: true})
+		n.Plans = cloneAndSet(n.Plans, e.Name, Plan{Team: e.Name, Version: v, Deleted: true})
 	case AddAllow, RemoveAllow:
 		a := n.Allows[e.Name].WithItems(e.Items, e.Kind == RemoveAllow)
 		a.Team, a.Version = e.Name, v
-		n.Allows = put(n.Allows, e.Name, a)
+		n.Allows = cloneAndSet(n.Allows, e.Name, a)
 	case GiveKey:
-		n.Keys = put(n.Keys, e.Name, Key{ID: e.Name, Team: e.Team, Hash: e.Secret, Version: v})
+		n.Keys = cloneAndSet(n.Keys, e.Name, Key{ID: e.Name, Team: e.Team, Hash: e.Secret, Version: v})
 	case WithdrawKey:
 		k := n.Keys[e.Name]
 		k.ID, k.Withdrawn, k.Version = e.Name, true, v
-		n.Keys = put(n.Keys, e.Name, k)
+		n.Keys = cloneAndSet(n.Keys, e.Name, k)
 	case AzOut, AzBack:
-		n.Azs = put(n.Azs, e.Name, Az{Name: e.Name, Out: e.Kind == AzOut, Version: v})
+		n.Azs = cloneAndSet(n.Azs, e.Name, Az{Name: e.Name, Out: e.Kind == AzOut, Version: v})
 	}
 }
 
-func (n *State) remember(r Result) {
+// addResult stores r and drops the oldest result beyond maxResults.
+func (n *State) addResult(r Result) {
 	n.Results = maps.Clone(n.Results)
 	n.Results[r.Edit] = r
 	recent := append(append(make([]string, 0, len(n.Recent)+1), n.Recent...), r.Edit)
--- a/internal/cell/config/grant.go
+++ b/internal/cell/config/grant.go
@@ -6,27 +6,24 @@
 	"lagooncourse/internal/cell/jobs"
 )
 
-// Grants changes the parts of teams' limits that one group holds.
+// Grants sets the parts of teams' limits that are assigned to one group.
 //
-// A team's limit is divided into grants, each held by a group, not by a
-// process: when the group's owner dies, its successor inherits the grant
-// together with the group's records of what runs under it. Three rules keep
-// the sum of all that groups may use at or below the limit in every state:
+// A grant belongs to a group, not to a process: after a takeover the new owner
+// has the grant together with the group's record of the work that runs under it.
+// Three rules keep the sum of all groups' ceilings within the team's limit:
 //
-//   - A raise is void if the sum of the grants would exceed the limit.
-//   - An owner stops using what it is about to give back before it appends the
-//     lower amount.
-//   - A record is void unless its fence is higher than the group's newest. An
-//     owner's first act after a takeover is to raise the fence, which makes
-//     void whatever its predecessor's appends may still bring.
+//   - An increase is ignored if the sum of the grants would exceed the limit.
+//   - An owner stops using capacity before it appends a record that returns it.
+//   - A record is ignored unless its fence is higher than the group's highest
+//     one. After a takeover the new owner first appends a record with a higher
+//     fence, so that late appends of the previous owner have no effect.
 //
-// When a limit is lowered below the sum of the grants, every group's Ceiling
-// shrinks in proportion, computed alike everywhere, without waiting for new
-// grant records.
+// If a limit is lowered below the sum of the grants, the Ceiling of every group
+// shrinks in proportion at once, without new grant records.
 type Grants struct {
 	Group string
 	Fence Fence
-	Items []Grant // Group of an item is not used
+	Items []Grant // the Group field of the items is ignored
 }
 
 func (f Fence) less(o Fence) bool {
@@ -37,7 +34,7 @@
 	if !n.Fences[g.Group].less(g.Fence) {
 		return
 	}
-	n.Fences = put(n.Fences, g.Group, g.Fence)
+	n.Fences = cloneAndSet(n.Fences, g.Group, g.Fence)
 	for _, item := range g.Items {
 		n.applyGrant(g.Group, item)
 	}
@@ -50,7 +47,7 @@
 	}
 	if !item.Amount.Fits(held) {
 		sum := n.Granted(item.Team).Minus(held).Plus(item.Amount)
-		if !raiseFits(held, item.Amount, sum, n.Limit(item.Team)) {
+		if !increaseFits(held, item.Amount, sum, n.Limit(item.Team)) {
 			return
 		}
 	}
@@ -63,11 +60,12 @@
 	} else {
 		byGroup[group] = item.Amount
 	}
-	n.Grants = put(n.Grants, item.Team, byGroup)
+	n.Grants = cloneAndSet(n.Grants, item.Team, byGroup)
 }
 
-// raiseFits reports whether every dimension that grows stays within the limit.
-func raiseFits(held, amount, sum, limit jobs.Size) bool {
+// increaseFits reports whether sum is within the limit in every dimension in which
+// amount is larger than held.
+func increaseFits(held, amount, sum, limit jobs.Size) bool {
 	return (amount.CPU <= held.CPU || sum.CPU <= limit.CPU) &&
 		(amount.Mem <= held.Mem || sum.Mem <= limit.Mem) &&
 		(amount.Accel <= held.Accel || sum.Accel <= limit.Accel)
@@ -82,13 +80,14 @@
 	return sum
 }
 
-// Pool returns the part of the team's limit that no group holds; a dimension
-// whose grants exceed a lowered limit is 0.
+// Pool returns the part of the team's limit that is not granted to any group. A
+// dimension in which the grants exceed the limit is 0.
 func (s *State) Pool(team string) jobs.Size {
 	return s.Limit(team).Minus(s.Granted(team)).Most(jobs.Size{})
 }
 
-// Ceiling returns how much of the team's work the group may have running.
+// Ceiling returns the limit of the team's running work in the group: the group's
+// grant, scaled down if the sum of the grants exceeds the team's limit.
 func (s *State) Ceiling(team, group string) jobs.Size {
 	held, ok := s.Grants[team][group]
 	if !ok {
