--- a/internal/cell/group/call.go
+++ b/internal/cell/group/call.go
@@ -2,30 +2,30 @@
 
 import "lagooncourse/internal/base/fault"
 
-// Call is the record of a call that must run at most once. It is written
-// before the call is sent, and once more with its outcome.
+// Call is the record of a call that must run at most once. It is written before
+// the call is sent, and again with the outcome.
 //
-// A successor that finds a call without an outcome cannot know whether it ran:
-// the executors take no fencing token and keep no record that could be asked.
-// It answers Unknown to every repetition and never sends the call again.
+// After a takeover the new owner cannot find out whether a call without an
+// outcome ran, because executors neither check fencing tokens nor keep records of
+// calls. It answers every retry with Unknown and does not send the call again.
 type Call struct {
 	Team    string
-	ID      string
-	Epoch   uint64 // in which the call was sent
+	ID      string // idempotency key within the team
+	Epoch   uint64 // epoch in which the call was sent
 	AtMs    int64
-	Ran     fault.Outcome // empty while it is under way
+	Ran     fault.Outcome // empty while the call is in progress
 	Status  int
-	Answer  []byte // kept if it has at most MaxKeptAnswer bytes
-	Dropped bool   // the answer was too long to keep
+	Answer  []byte // empty if longer than MaxAnswerBytes
+	Dropped bool   // the answer was too long to store
 }
 
-// MaxKeptAnswer bounds the answers that are kept for repetitions, in bytes.
-const MaxKeptAnswer = 4 << 10
+// MaxAnswerBytes limits the size of an answer that is stored for retries.
+const MaxAnswerBytes = 4 << 10
 
-// WithOutcome returns the call with how it ended.
+// WithOutcome returns the call with its outcome and answer.
 func (c Call) WithOutcome(ran fault.Outcome, status int, answer []byte) Call {
 	c.Ran, c.Status, c.Answer = ran, status, answer
-	if len(answer) > MaxKeptAnswer {
+	if len(answer) > MaxAnswerBytes {
 		c.Answer, c.Dropped = nil, true
 	}
 	return c
@@ -34,8 +34,8 @@
 // Key returns the call's key in State.Calls.
 func (c Call) Key() string { return SubKey(c.Team, c.ID) }
 
-// applyCall adds a call or its outcome. A call that surely did not run is
-// removed, so that a repetition may run it. A known outcome never changes.
+// applyCall stores a call or its outcome. A call with the outcome NotRun is
+// removed, so that a retry can run it. Any other outcome is never changed.
 func (s *State) applyCall(c Call) {
 	old, seen := s.Calls[c.Key()]
 	if seen && old.Ran != "" {
--- a/internal/cell/group/group.go
+++ b/internal/cell/group/group.go
@@ -1,23 +1,22 @@
-// Package group is the durable state of one group: the jobs that it owns, the
-// intents and ends of their tasks, the record of calls that must run at most
-// once, and who owns the group.
+// Package group implements the durable state of one group: the jobs that it owns
+// with the states of their tasks, the records of calls that must run at most
+// once, and the group's owner.
 //
-// A group is a set of racks of one availability zone together with a stream of
-// the log and a share of the submitted jobs. At any time at most one entry
-// host, the group's owner, may add records to it. Ownership is itself a record:
-// a claim names the next epoch, and the first claim of an epoch by offset wins.
-// Every other batch carries its writer's epoch and a sequence number, and is
-// void unless it continues the present epoch without a gap. A paused owner that
-// wakes up, and an append that arrives after its sender has given up, thus
-// change nothing.
+// A group is a set of racks of one availability zone, a stream of the log, and a
+// share of the submitted jobs. At most one entry host at a time, the group's
+// owner, can write to its state. Ownership is decided by the log: a claim names
+// the next epoch, and the first claim of an epoch by offset wins. Every other
+// batch carries its writer's epoch and a sequence number. It is ignored unless it
+// is the next batch of the current epoch, so batches of a previous owner that
+// resumes after a pause, and late or duplicate appends, have no effect.
 //
-// The state is a pure function of the stream's records, so a successor needs
-// nothing but the log.
+// The state is a pure function of the stream's records, so a new owner needs only
+// the log to rebuild it.
 //
 // # Usage
 //
 //	s := group.NewState("az1-0")
-//	s.Watch = queue // told of every change of a task
+//	s.Watch = queue // notified of every task change
 //	s.Apply(offset, data)
 //	batch := group.Batch{Epoch: s.Epoch, Seq: s.Seq + 1, Records: records}
 package group
@@ -35,20 +34,19 @@
 // Holder is the owner of a group during one epoch.
 type Holder struct {
 	Host string // id of the entry host; empty after a release
-	Addr string // where its peers reach it
+	Addr string // peer address of the entry host
 }
 
-// Batch is one record of the stream. With Claim set it opens the epoch Epoch.
-// Otherwise it belongs to that epoch, at place Seq counted from 1.
+// Batch is one entry of the stream. A batch with Claim starts a new epoch.
 type Batch struct {
 	Epoch   uint64
-	Seq     uint64
-	Claim   *Holder
-	Release bool // the owner gives the group up; no batch of its epoch follows
+	Seq     uint64  // sequence number within the epoch, from 1; not used in a claim
+	Claim   *Holder // the new owner; nil if the batch is not a claim
+	Release bool    // the owner gives up ownership; this is the last batch of its epoch
 	Records []Record
 }
 
-// Record is one change. Exactly one field is set.
+// Record is one change of the state. Exactly one field is set.
 type Record struct {
 	Submit *Submit
 	Start  *Start
@@ -59,7 +57,7 @@
 	Call   *Call
 }
 
-// Submit accepts a job. Its id is assigned when the record is applied.
+// Submit adds a job. The job's id is assigned when the record is applied.
 type Submit struct {
 	Spec jobs.Spec
 	AtMs int64
@@ -68,34 +66,37 @@
 // Start is the intent to run the next attempt of a task.
 type Start struct {
 	Ref     jobs.Ref
-	Attempt int // must be one more than the newest
+	Attempt int // must be the task's latest attempt plus 1
 	Site    jobs.Site
 	AtMs    int64
 }
 
-// Cancel asks for the end of a job.
+// Cancel requests the cancellation of a job.
 type Cancel struct {
 	Job  jobs.ID
 	AtMs int64
 }
 
-// Settle is an operator's decision on a parked task.
+// Settle is an operator's decision about a parked task.
 type Settle struct {
 	Ref    jobs.Ref
 	Action jobs.Action
 	AtMs   int64
 }
 
-// Forget drops jobs and calls that ended before an instant.
+// Forget deletes the jobs that ended and the calls that were recorded before the
+// given time.
 type Forget struct {
 	BeforeMs int64
 }
 
-// SubKey identifies a submission within the cell.
+// SubKey returns the key of a submission or call of a team in the maps of State.
 func SubKey(team, submission string) string { return team + "\x00" + submission }
 
-// Observer learns of every change of a task, while the state applies it.
+// Observer is notified of every task change while the state applies it.
 type Observer interface {
+	// TaskChanged is called after the change. The value of before is the zero
+	// Task for a new job and for a task restored from a snapshot.
 	TaskChanged(job *jobs.Job, index int, before jobs.Task)
 }
 
@@ -105,17 +106,17 @@
 	Watch Observer // may be nil
 
 	Epoch   uint64
-	Seq     uint64 // of the newest batch of the epoch
-	LastSeq uint64 // of the newest batch of the epoch before
+	Seq     uint64 // sequence number of the latest batch of the epoch
+	LastSeq uint64 // sequence number of the last batch of the previous epoch
 	Owner   Holder
-	NextJob int64
+	NextJob int64 // number of the latest job; the next one gets NextJob+1
 	Jobs    map[jobs.ID]*jobs.Job
 	Subs    map[string]jobs.ID   // SubKey -> job
-	Used    map[string]jobs.Size // team -> size of its placed tasks
+	Used    map[string]jobs.Size // team -> total size of its placed tasks
 	Calls   map[string]Call      // SubKey -> call
 }
 
-// NewState returns the state of a group without records.
+// NewState returns the empty state of a group.
 func NewState(name string) *State {
 	s := &State{Name: name}
 	s.reset()
@@ -129,7 +130,8 @@
 	s.Calls = map[string]Call{}
 }
 
-// Apply takes the next record of the stream.
+// Apply applies the next entry of the stream. An entry that cannot be decoded is
+// ignored.
 func (s *State) Apply(_ int64, data []byte) {
 	b, err := frame.Decode[Batch](data)
 	if err != nil {
@@ -164,9 +166,10 @@
 	return true
 }
 
-// Verdict says whether the batch of an epoch is part of the state, and whether
-// that is settled for ever. It is not settled as long as the batch may still
-// arrive, and no longer known once a second claim has followed.
+// Verdict reports whether the batch with the given epoch and sequence number has
+// been applied, and whether this answer is final. It is not final while the batch
+// may still arrive. Two or more claims after the batch's epoch, the answer is no
+// longer known and both results are false.
 func (s *State) Verdict(epoch, seq uint64) (applied, settled bool) {
 	switch {
 	case epoch == s.Epoch:
@@ -185,12 +188,12 @@
 		s.applyStart(*r.Start)
 	case r.End != nil:
 		e := *r.End
-		s.change(e.Ref, e.AtMs, func(j *jobs.Job, t jobs.Task) jobs.Task { return t.WithEnd(j.Spec, e) })
+		s.updateTask(e.Ref, e.AtMs, func(j *jobs.Job, t jobs.Task) jobs.Task { return t.WithEnd(j.Spec, e) })
 	case r.Cancel != nil:
 		s.applyCancel(*r.Cancel)
 	case r.Settle != nil:
 		c := *r.Settle
-		s.change(c.Ref, c.AtMs, func(_ *jobs.Job, t jobs.Task) jobs.Task { return t.WithSettled(c.Action, c.AtMs) })
+		s.updateTask(c.Ref, c.AtMs, func(_ *jobs.Job, t jobs.Task) jobs.Task { return t.WithSettled(c.Action, c.AtMs) })
 	case r.Forget != nil:
 		s.applyForget(*r.Forget)
 	case r.Call != nil:
@@ -215,10 +218,11 @@
 	}
 }
 
-// applyStart records an intent. An owner that raced itself, for instance with
-// a cancellation in the same batch, gets no effect.
+// applyStart records the intent to run an attempt. It has no effect if the task
+// is no longer waiting for this attempt, for instance because an earlier record
+// of the same batch cancelled the job.
 func (s *State) applyStart(r Start) {
-	s.change(r.Ref, 0, func(_ *jobs.Job, t jobs.Task) jobs.Task {
+	s.updateTask(r.Ref, 0, func(_ *jobs.Job, t jobs.Task) jobs.Task {
 		if t.State != jobs.Waiting || t.Attempt+1 != r.Attempt {
 			return t
 		}
@@ -233,12 +237,13 @@
 	}
 	for i := range j.Tasks {
 		ref := jobs.Ref{Job: j.ID, Index: i}
-		s.change(ref, c.AtMs, func(_ *jobs.Job, t jobs.Task) jobs.Task { return t.WithCancel(c.AtMs) })
+		s.updateTask(ref, c.AtMs, func(_ *jobs.Job, t jobs.Task) jobs.Task { return t.WithCancel(c.AtMs) })
 	}
 }
 
-// change replaces a task and keeps the sums and the observer up to date.
-func (s *State) change(ref jobs.Ref, nowMs int64, next func(*jobs.Job, jobs.Task) jobs.Task) {
+// updateTask replaces the task with the result of next, updates Used and the
+// job's end time, and notifies the observer.
+func (s *State) updateTask(ref jobs.Ref, nowMs int64, next func(*jobs.Job, jobs.Task) jobs.Task) {
 	j := s.Jobs[ref.Job]
 	if j == nil || ref.Index < 0 || ref.Index >= len(j.Tasks) {
 		return
@@ -249,14 +254,16 @@
 		return
 	}
 	j.Tasks[ref.Index] = after
-	s.account(j.Spec, before.State, after.State)
+	s.updateUsed(j.Spec, before.State, after.State)
 	if after.State.Final() && j.Ended() {
 		j.EndMs = nowMs
 	}
 	s.notify(j, ref.Index, before)
 }
 
-func (s *State) account(spec jobs.Spec, before, after jobs.State) {
+// updateUsed updates the team's usage for a task that changes from state before
+// to state after.
+func (s *State) updateUsed(spec jobs.Spec, before, after jobs.State) {
 	used := s.Used[spec.Team]
 	if before == jobs.Placed {
 		used = used.Minus(spec.Size)
@@ -291,7 +298,7 @@
 	}
 }
 
-// Job returns a copy of the job.
+// Job returns a copy of the job, and false if there is none.
 func (s *State) Job(id jobs.ID) (jobs.Job, bool) {
 	j := s.Jobs[id]
 	if j == nil {
@@ -300,7 +307,7 @@
 	return j.WithTasks(j.Tasks), true
 }
 
-// Sorted returns the jobs in the order of their submission.
+// Sorted returns the jobs in the order of their submission time.
 func (s *State) Sorted() []*jobs.Job {
 	list := make([]*jobs.Job, 0, len(s.Jobs))
 	for _, j := range s.Jobs {
@@ -315,8 +322,8 @@
 	return list
 }
 
-// image is the encoded form of a State.
-type image struct {
+// snapshot is the encoded form of a State.
+type snapshot struct {
 	Epoch   uint64
 	Seq     uint64
 	LastSeq uint64
@@ -328,15 +335,15 @@
 
 // Snapshot returns the encoded state.
 func (s *State) Snapshot() ([]byte, error) {
-	return frame.Encode(image{
+	return frame.Encode(snapshot{
 		Epoch: s.Epoch, Seq: s.Seq, LastSeq: s.LastSeq, Owner: s.Owner, NextJob: s.NextJob, Jobs: s.Sorted(), Calls: s.Calls,
 	})
 }
 
-// Restore replaces the state with an encoded one and tells the observer of
-// every task in it.
+// Restore replaces the state with the result of Snapshot and notifies the
+// observer of every task.
 func (s *State) Restore(data []byte) error {
-	img, err := frame.Decode[image](data)
+	img, err := frame.Decode[snapshot](data)
 	if err != nil {
 		return err
 	}
@@ -349,7 +356,7 @@
 		s.Jobs[j.ID] = j
 		s.Subs[SubKey(j.Spec.Team, j.Spec.Submission)] = j.ID
 		for i, t := range j.Tasks {
-			s.account(j.Spec, jobs.Waiting, t.State)
+			s.updateUsed(j.Spec, jobs.Waiting, t.State)
 			s.notify(j, i, jobs.Task{})
 		}
 	}
--- a/internal/cell/group/group_test.go
+++ b/internal/cell/group/group_test.go
@@ -11,9 +11,8 @@
 	"lagooncourse/internal/cell/jobs"
 )
 
-// valid returns the batches that count, found by looking at the whole stream:
-// a claim counts if it names the epoch after the newest, and a batch counts if
-// it continues the newest claim without a gap.
+// valid returns the valid batches of a stream: claims of the epoch after the
+// latest one, and batches that are the next in the current epoch.
 func valid(batches []Batch) []Batch {
 	var list []Batch
 	var epoch, seq uint64
@@ -32,13 +31,13 @@
 	return list
 }
 
-// history is one task's life, rebuilt from the records about it.
+// history is the state of one task, rebuilt from its records.
 type history struct {
-	starts int
-	open   bool // the newest attempt has not ended
+	starts  int  // started attempts
+	running bool // the latest attempt has not ended
 }
 
-// histories rebuilds the life of every task from the valid batches alone.
+// histories rebuilds every task and the set of submission ids from valid batches.
 func histories(batches []Batch) (map[jobs.Ref]history, map[string]bool) {
 	tasks, subs := map[jobs.Ref]history{}, map[string]bool{}
 	nextJob := int64(0)
@@ -51,13 +50,13 @@
 				tasks[jobs.Ref{Job: jobs.NewID("g", nextJob)}] = history{}
 			case r.Start != nil:
 				h, ok := tasks[r.Start.Ref]
-				if ok && !h.open && h.starts+1 == r.Start.Attempt {
-					tasks[r.Start.Ref] = history{starts: h.starts + 1, open: true}
+				if ok && !h.running && h.starts+1 == r.Start.Attempt {
+					tasks[r.Start.Ref] = history{starts: h.starts + 1, running: true}
 				}
 			case r.End != nil:
 				h := tasks[r.End.Ref]
-				if h.open && h.starts == r.End.Attempt && r.End.How == jobs.EndAbsent {
-					h.open = false
+				if h.running && h.starts == r.End.Attempt && r.End.How == jobs.EndAbsent {
+					h.running = false
 					tasks[r.End.Ref] = h
 				}
 			}
@@ -84,8 +83,8 @@
 	return list
 }
 
-// drawBatch draws a claim, a batch that continues the stream, or one of a
-// paused owner or a repeated append.
+// drawBatch draws a claim, the next batch of the current epoch, or a stale or
+// duplicate batch.
 func drawBatch(t *rapid.T, s *State) Batch {
 	epoch := s.Epoch + uint64(rapid.IntRange(0, 2).Draw(t, "ahead"))
 	if rapid.IntRange(0, 4).Draw(t, "claim") == 0 {
@@ -98,8 +97,9 @@
 	return Batch{Epoch: s.Epoch, Seq: s.Seq + 1, Records: drawRecords(t), Release: rapid.IntRange(0, 9).Draw(t, "release") == 0}
 }
 
-// TestAgainstNaive compares the state with lives rebuilt from the valid
-// batches, after streams with paused owners, repeated appends, and restarts.
+// TestAgainstNaive compares the state with histories rebuilt from the valid
+// batches. The streams contain stale and duplicate batches, and the state is
+// restored from snapshots.
 func TestAgainstNaive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := NewState("g")
@@ -119,8 +119,8 @@
 		for ref, h := range tasks {
 			got := s.Jobs[ref.Job].Tasks[0]
 			assert.Equal(t, got.Attempt, h.starts, "%s", ref)
-			assert.Equal(t, got.State == jobs.Placed, h.open, "%s", ref)
-			if h.open {
+			assert.Equal(t, got.State == jobs.Placed, h.running, "%s", ref)
+			if h.running {
 				used++
 			}
 		}
@@ -136,8 +136,8 @@
 	return n
 }
 
-// TestVerdict checks that a batch is called applied only if it is, and void
-// only if it can never be applied.
+// TestVerdict checks that Verdict reports a batch as applied only if it is, and
+// finally as not applied only if it can never be applied.
 func TestVerdict(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := NewState("g")
@@ -162,15 +162,15 @@
 			}
 			if settled && !got {
 				late := restart(t, s)
-				assert.Assert(t, !late.ApplyBatch(mine), "batch %+v was called void and is applied", mine)
+				assert.Assert(t, !late.ApplyBatch(mine), "batch %+v was reported as never applied, but was applied", mine)
 				assert.Assert(t, !applied)
 			}
 		}
 	})
 }
 
-// TestCalls checks that a recorded outcome of a call never changes, and that
-// only a call that surely did not run frees its id.
+// TestCalls checks that a recorded outcome of a call never changes, and that only
+// the outcome NotRun removes a call.
 func TestCalls(t *testing.T) {
 	s := NewState("g")
 	assert.Assert(t, s.ApplyBatch(Batch{Epoch: 1, Claim: &Holder{Host: "e0"}}))
@@ -191,11 +191,11 @@
 	put(d.WithOutcome(fault.NotRun, 0, nil))
 	_, ok := s.Calls[d.Key()]
 	assert.Assert(t, !ok)
-	long := c.WithOutcome(fault.Done, 200, make([]byte, MaxKeptAnswer+1))
+	long := c.WithOutcome(fault.Done, 200, make([]byte, MaxAnswerBytes+1))
 	assert.Assert(t, long.Dropped && long.Answer == nil)
 }
 
-// FuzzApply feeds the state records that nobody should have written.
+// FuzzApply checks that an invalid batch does not crash the state or add a job.
 func FuzzApply(f *testing.F) {
 	f.Add([]byte{0xc1})
 	f.Add([]byte{0x95, 1, 0, 0xc0, 0xc2, 0xc0})
