--- a/internal/cell/queue/policy.go
+++ b/internal/cell/queue/policy.go
@@ -2,12 +2,12 @@
 
 import "lagooncourse/internal/cell/jobs"
 
-// Fair serves the most urgent kind first and, within a kind, the team whose
-// dominant share of the fleet is smallest in proportion to its weight. Work
-// that has waited longer than MaxWaitMs goes before all other work but urgent
-// work, oldest first, so that nothing starves.
+// Fair orders items by kind, most urgent first, and within a kind by weighted
+// dominant share: the team with the smallest dominant share of the fleet per
+// weight goes first. To avoid starvation, items that have waited longer than
+// MaxWaitMs go before all items that are not urgent, oldest first.
 type Fair struct {
-	MaxWaitMs int64 // milliseconds; 0 means 10 minutes
+	MaxWaitMs int64 // 0 means 10 minutes
 }
 
 var (
@@ -27,7 +27,7 @@
 		return ra < rb
 	}
 	if ra != overdueRank {
-		sa, sb := weighted(a, v), weighted(b, v)
+		sa, sb := weightedShare(a, v), weightedShare(b, v)
 		if sa != sb {
 			return sa < sb
 		}
@@ -35,9 +35,11 @@
 	return older(a.Item, b.Item)
 }
 
-// overdueRank is the rank of work that has waited too long, just after urgent work.
+// overdueRank is the rank of items that have waited longer than MaxWaitMs. It comes
+// directly after the rank of urgent items.
 const overdueRank = 1
 
+// rank returns the priority of an item; lower ranks go first.
 func (f Fair) rank(it Item, nowMs int64) int {
 	limit := f.MaxWaitMs
 	if limit == 0 {
@@ -53,12 +55,14 @@
 	return r + overdueRank
 }
 
-// weighted returns the team's dominant share of the fleet divided by its weight.
-func weighted(c Candidate, v *View) float64 {
+// weightedShare returns the team's dominant share of the fleet divided by its
+// weight.
+func weightedShare(c Candidate, v *View) float64 {
 	weight := max(v.Share[c.Item.Team], 1)
 	return c.Used.Dominant(v.Fleet) / float64(weight)
 }
 
+// older reports whether a was added before b. Ties are broken by the ref.
 func older(a, b Item) bool {
 	if a.AtMs != b.AtMs {
 		return a.AtMs < b.AtMs
@@ -69,8 +73,8 @@
 	return a.Ref.Index < b.Ref.Index
 }
 
-// FIFO serves items in the order of their arrival. It is the baseline that the
-// other policies are measured against.
+// FIFO orders items by arrival. It is the baseline for comparisons with other
+// policies.
 type FIFO struct{}
 
 var _ Policy = FIFO{}
--- a/internal/cell/queue/queue.go
+++ b/internal/cell/queue/queue.go
@@ -1,11 +1,10 @@
-// Package queue decides whose work goes next.
+// Package queue holds the waiting work of one group and decides its order.
 //
-// A Queue holds the waiting work of one group. An Item is what is placed at
-// once: a single task, or all tasks of a gang. A Pass walks through the items
-// in the order of the policy; the caller tries to place each and tells the
-// pass what came of it. Work that does not fit now holds up only work of the
-// same shape: the pass sets that shape aside and goes on with the others, so a
-// job that can never run delays nobody.
+// An Item is the unit of placement: a single task, or all tasks of a gang. A Pass
+// iterates over the items of a Queue in the order of its Policy. The caller tries
+// to place each item and reports the result to the pass. If an item does not fit,
+// the pass skips all items of the same shape and continues with the others, so a
+// job that can never run does not block different ones.
 //
 // # Usage
 //
@@ -23,24 +22,24 @@
 	"lagooncourse/internal/cell/jobs"
 )
 
-// Item is work that is placed at once.
+// Item is a unit of work that is placed as a whole.
 type Item struct {
-	Ref   jobs.Ref // its first task
+	Ref   jobs.Ref // the first task
 	Team  string
 	Kind  jobs.Kind
 	Size  jobs.Size // of each task
-	Count int       // tasks; more than 1 for a gang
-	Az    string
-	AtMs  int64 // since when it waits
+	Count int       // number of tasks; more than 1 for a gang
+	Az    string    // requested availability zone; empty for any
+	AtMs  int64     // start of the waiting time
 
-	ticket uint64 // tells an entry of a line from an older one with the same ref
+	seq uint64 // distinguishes the item from a removed one with the same ref
 }
 
-// Total returns the size of the whole item.
+// Total returns the sum of the sizes of all tasks.
 func (it Item) Total() jobs.Size { return it.Size.Times(int64(it.Count)) }
 
-// shape is what decides whether an item fits. Items of one shape and team are
-// served in the order of their arrival.
+// shape holds the properties of an item that decide whether it can be placed.
+// Items of one shape are ordered by arrival.
 type shape struct {
 	kind  jobs.Kind
 	team  string
@@ -53,42 +52,41 @@
 	return shape{kind: it.Kind, team: it.Team, size: it.Size, count: it.Count, az: it.Az}
 }
 
-// line is the waiting items of one shape, oldest first. Removed items stay in
-// it as holes until they reach the front, so a removal costs the same however
-// many wait.
-type line struct {
+// shapeQueue holds the items of one shape, oldest first. Removed items stay in
+// the slice until they reach the front, so that Remove takes constant time.
+type shapeQueue struct {
 	shape shape
 	items []Item
-	live  int
+	live  int // number of items that have not been removed
 }
 
-// View is what a policy knows about the whole fleet.
+// View is the state of the whole fleet that a policy uses.
 type View struct {
 	NowMs int64
-	Fleet jobs.Size            // capacity of all availability zones in service
-	Used  map[string]jobs.Size // team -> running in the whole fleet
+	Fleet jobs.Size            // total capacity of the availability zones in service
+	Used  map[string]jobs.Size // team -> size of its running work in the whole fleet
 	Share map[string]int64     // team -> weight
 }
 
-// Policy orders the shapes that have waiting work.
+// Policy orders the shapes with waiting items.
 type Policy interface {
-	// Less reports whether a goes before b. It must be a strict weak order for
-	// a fixed view and fixed usage.
+	// Less reports whether a goes before b. It must be a strict weak ordering
+	// for a fixed view and usage.
 	Less(a, b Candidate, v *View) bool
 }
 
-// Preemptor is implemented by policies under which running work may be stopped,
-// with its state kept, for work that matters more.
+// Preemptor is implemented by policies that allow preemption: running work is
+// stopped with a checkpoint to make room for other work.
 type Preemptor interface {
-	// Preempts reports whether batch gives way to urgent work, and work of
-	// teams above their share to teams below it.
+	// Preempts reports whether urgent work preempts batch work, and teams below
+	// their fair share preempt teams above it.
 	Preempts() bool
 }
 
-// Policies lists the policies by the name under which they can be asked for.
+// Policies maps policy names to policies.
 var Policies = map[string]Policy{"fair": Fair{}, "fifo": FIFO{}}
 
-// Candidate is the oldest item of a shape, with its team's present usage.
+// Candidate is the oldest item of a shape with its team's current usage.
 type Candidate struct {
 	Item Item
 	Used jobs.Size
@@ -96,22 +94,22 @@
 
 // Config describes a Queue.
 type Config struct {
-	Policy Policy // nil means Fair with its default bounds
+	Policy Policy // nil means Fair{}
 }
 
-// place is where a waiting item stands.
-type place struct {
-	shape  shape
-	ticket uint64
+// position identifies a waiting item in its shapeQueue.
+type position struct {
+	shape shape
+	seq   uint64
 }
 
 // Queue holds waiting items. It is not safe for concurrent use.
 type Queue struct {
-	policy Policy
-	lines  map[shape]*line
-	where  map[jobs.Ref]place
-	ticket uint64               // of the newest item
-	demand map[string]jobs.Size // team -> total size of what waits
+	policy      Policy
+	shapeQueues map[shape]*shapeQueue
+	positions   map[jobs.Ref]position
+	seq         uint64               // seq of the latest item
+	demand      map[string]jobs.Size // team -> total size of its waiting items
 }
 
 // New returns an empty queue.
@@ -120,46 +118,46 @@
 		cfg.Policy = Fair{}
 	}
 	return &Queue{
-		policy: cfg.Policy, lines: map[shape]*line{}, where: map[jobs.Ref]place{}, demand: map[string]jobs.Size{},
+		policy: cfg.Policy, shapeQueues: map[shape]*shapeQueue{}, positions: map[jobs.Ref]position{}, demand: map[string]jobs.Size{},
 	}
 }
 
-// Len returns how many items wait.
-func (q *Queue) Len() int { return len(q.where) }
+// Len returns the number of waiting items.
+func (q *Queue) Len() int { return len(q.positions) }
 
-// Demand returns the total size of what waits for each team. The caller must
-// not change the map.
+// Demand returns the total size of the waiting items of each team. The caller
+// must not modify the map.
 func (q *Queue) Demand() map[string]jobs.Size { return q.demand }
 
-// Add puts an item at the end of its line. An item whose ref waits already is
-// ignored.
+// Add adds an item behind all others of its shape. It ignores an item if one with
+// the same ref is waiting.
 func (q *Queue) Add(it Item) {
-	if _, ok := q.where[it.Ref]; ok {
+	if _, ok := q.positions[it.Ref]; ok {
 		return
 	}
 	sh := it.shape()
-	l := q.lines[sh]
+	l := q.shapeQueues[sh]
 	if l == nil {
-		l = &line{shape: sh}
-		q.lines[sh] = l
+		l = &shapeQueue{shape: sh}
+		q.shapeQueues[sh] = l
 	}
-	q.ticket++
-	it.ticket = q.ticket
+	q.seq++
+	it.seq = q.seq
 	l.items = append(l.items, it)
 	l.live++
-	q.where[it.Ref] = place{shape: sh, ticket: it.ticket}
+	q.positions[it.Ref] = position{shape: sh, seq: it.seq}
 	q.demand[it.Team] = q.demand[it.Team].Plus(it.Total())
 }
 
-// Remove takes an item out, wherever it stands in its line.
+// Remove removes the item with the given ref, if there is one.
 func (q *Queue) Remove(ref jobs.Ref) {
-	at, ok := q.where[ref]
+	at, ok := q.positions[ref]
 	if !ok {
 		return
 	}
 	sh := at.shape
-	delete(q.where, ref)
-	l := q.lines[sh]
+	delete(q.positions, ref)
+	l := q.shapeQueues[sh]
 	l.live--
 	left := q.demand[sh.team].Minus(sh.size.Times(int64(sh.count)))
 	if left.IsZero() {
@@ -168,15 +166,15 @@
 		q.demand[sh.team] = left
 	}
 	if l.live == 0 {
-		delete(q.lines, sh)
+		delete(q.shapeQueues, sh)
 	}
 }
 
-// head returns the oldest waiting item of the line.
-func (q *Queue) head(l *line) (Item, bool) {
+// head returns the oldest waiting item of l. It drops removed items at the front.
+func (q *Queue) head(l *shapeQueue) (Item, bool) {
 	for len(l.items) > 0 {
 		it := l.items[0]
-		if q.waits(it) {
+		if q.isWaiting(it) {
 			return it, true
 		}
 		l.items = l.items[1:]
@@ -184,42 +182,44 @@
 	return Item{}, false
 }
 
-// waits reports whether an entry of a line still waits.
-func (q *Queue) waits(it Item) bool {
-	at, ok := q.where[it.Ref]
-	return ok && at.ticket == it.ticket
+// isWaiting reports whether an item of a shapeQueue has not been removed.
+func (q *Queue) isWaiting(it Item) bool {
+	at, ok := q.positions[it.Ref]
+	return ok && at.seq == it.seq
 }
 
 // Each calls fn for every waiting item, oldest first within a shape.
 func (q *Queue) Each(fn func(Item)) {
-	for _, l := range q.lines {
+	for _, l := range q.shapeQueues {
 		for _, it := range l.items {
-			if q.waits(it) {
+			if q.isWaiting(it) {
 				fn(it)
 			}
 		}
 	}
 }
 
-// Pass is one walk through the queue. The queue may lose items during a pass,
-// but the pass sees no items that are added meanwhile.
+// Pass is one iteration over the queue. Items may be removed from the queue
+// during a pass. Items of a new shape that are added during a pass are not
+// visited.
 type Pass struct {
-	q     *Queue
-	view  *View
-	used  map[string]jobs.Size // changes to view.Used made by this pass
-	lines []*line
+	q           *Queue
+	view        *View
+	used        map[string]jobs.Size // team -> size placed by this pass, in addition to view.Used
+	shapeQueues []*shapeQueue        // shapes that are not blocked or empty
 }
 
-// Pass starts a walk.
+// Pass starts a pass over the queue.
 func (q *Queue) Pass(v View) *Pass {
 	p := &Pass{q: q, view: &v, used: map[string]jobs.Size{}}
-	for _, l := range q.lines {
-		p.lines = append(p.lines, l)
+	for _, l := range q.shapeQueues {
+		p.shapeQueues = append(p.shapeQueues, l)
 	}
-	sort.Slice(p.lines, func(i, j int) bool { return p.lines[i].shape.less(p.lines[j].shape) })
+	sort.Slice(p.shapeQueues, func(i, j int) bool { return p.shapeQueues[i].shape.less(p.shapeQueues[j].shape) })
 	return p
 }
 
+// less is a total order that makes the order of a pass deterministic.
 func (s shape) less(o shape) bool {
 	switch {
 	case s.kind != o.kind:
@@ -235,13 +235,13 @@
 	return s.az < o.az
 }
 
-// Next returns the item that the policy puts first among the shapes that have
-// not been set aside. The caller has to call Placed or Blocked with it.
+// Next returns the item that the policy orders first among the shapes that are
+// not blocked. The caller must pass the item to Placed or Blocked.
 func (p *Pass) Next() (Item, bool) {
 	best := -1
 	var bestC Candidate
-	for i := 0; i < len(p.lines); i++ {
-		it, ok := p.q.head(p.lines[i])
+	for i := 0; i < len(p.shapeQueues); i++ {
+		it, ok := p.q.head(p.shapeQueues[i])
 		if !ok {
 			p.remove(i)
 			i--
@@ -256,19 +256,19 @@
 }
 
 func (p *Pass) remove(i int) {
-	p.lines = append(p.lines[:i], p.lines[i+1:]...)
+	p.shapeQueues = append(p.shapeQueues[:i], p.shapeQueues[i+1:]...)
 }
 
-// Placed takes the item out of the queue and counts it for its team.
+// Placed removes the item from the queue and adds it to its team's usage.
 func (p *Pass) Placed(it Item) {
 	p.q.Remove(it.Ref)
 	p.used[it.Team] = p.used[it.Team].Plus(it.Total())
 }
 
-// Blocked sets the item's shape aside for the rest of the pass.
+// Blocked excludes the item's shape from the rest of the pass.
 func (p *Pass) Blocked(it Item) {
 	sh := it.shape()
-	for i, l := range p.lines {
+	for i, l := range p.shapeQueues {
 		if l.shape == sh {
 			p.remove(i)
 			return
--- a/internal/cell/queue/queue_test.go
+++ b/internal/cell/queue/queue_test.go
@@ -11,7 +11,8 @@
 	"lagooncourse/internal/cell/jobs"
 )
 
-// naiveNext returns the item that the policy puts first, by looking at all.
+// naiveNext returns the item that the policy orders first among all items whose
+// shape is not blocked.
 func naiveNext(items map[jobs.Ref]Item, blocked map[shape]bool, used map[string]jobs.Size, p Policy, v *View) (best Item, ok bool) {
 	for _, it := range items {
 		if blocked[it.shape()] {
@@ -25,8 +26,8 @@
 	return best, ok
 }
 
-// TestAgainstNaive compares the order of a pass with the naive choice, under
-// additions, removals, placements and blocked shapes.
+// TestAgainstNaive compares the order of a pass with naiveNext, with random
+// removals before the pass and random results of the placements.
 func TestAgainstNaive(t *testing.T) {
 	for _, policy := range []Policy{FIFO{}, Fair{MaxWaitMs: 50}} {
 		t.Run(fmt.Sprintf("%T", policy), func(t *testing.T) {
@@ -88,7 +89,8 @@
 	assert.DeepEqual(t, q.Demand(), want)
 }
 
-// naiveShares finds the common level by bisection.
+// naiveShares finds by bisection the share per weight at which the teams use up
+// the fleet.
 func naiveShares(claims []Claim) map[string]float64 {
 	low, high := 0.0, 1e6
 	fill := func(level float64) (map[string]float64, float64) {
@@ -112,7 +114,7 @@
 	return shares
 }
 
-// TestFairShares compares the shares with a division found by bisection.
+// TestFairShares compares FairShares with naiveShares.
 func TestFairShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var claims []Claim
@@ -129,8 +131,8 @@
 	})
 }
 
-// TestStarvation checks that batch goes before newer work of other kinds once
-// it has waited too long, and never before urgent work.
+// TestStarvation checks that a batch item that has waited longer than MaxWaitMs
+// goes before a newer service item, but not before an urgent one.
 func TestStarvation(t *testing.T) {
 	f := Fair{MaxWaitMs: 100}
 	v := &View{NowMs: 200, Fleet: jobs.Size{CPU: 1}}
@@ -143,8 +145,8 @@
 	assert.Assert(t, f.Less(fresh, old, v))
 }
 
-// waiting fills a queue with n items of 94 teams and a number of shapes.
-func waiting(n int) *Queue {
+// filledQueue returns a queue with n batch items of 94 teams and 5 sizes.
+func filledQueue(n int) *Queue {
 	q := New(Config{})
 	for i := range n {
 		q.Add(Item{
@@ -159,7 +161,7 @@
 	for _, n := range []int{1000, 10_000, 100_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
-			q := waiting(n)
+			q := filledQueue(n)
 			v := View{Fleet: jobs.Size{CPU: 1000}, Used: map[string]jobs.Size{}, Share: map[string]int64{}}
 			p := q.Pass(v)
 			b.ResetTimer()
@@ -167,7 +169,7 @@
 				it, ok := p.Next()
 				if !ok {
 					b.StopTimer()
-					q = waiting(n)
+					q = filledQueue(n)
 					p = q.Pass(v)
 					b.StartTimer()
 					continue
@@ -182,12 +184,12 @@
 	for _, n := range []int{1000, 10_000, 100_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
-			q := waiting(n)
+			q := filledQueue(n)
 			b.ResetTimer()
 			for i := range b.N {
 				if i%n == 0 && i > 0 {
 					b.StopTimer()
-					q = waiting(n)
+					q = filledQueue(n)
 					b.StartTimer()
 				}
 				q.Remove(jobs.Ref{Job: jobs.NewID("g", int64(i%n+1))})
--- a/internal/cell/queue/share.go
+++ b/internal/cell/queue/share.go
@@ -6,20 +6,20 @@
 	"lagooncourse/internal/cell/jobs"
 )
 
-// Claim is what one team could use of the fleet, and with which weight.
+// Claim is the demand and weight of one team.
 type Claim struct {
 	Team   string
 	Weight int64
-	Wants  float64 // dominant share of the fleet that its running and waiting work would take
+	Wants  float64 // dominant share of the fleet that its running and waiting work needs
 }
 
-// FairShares divides the fleet by weight. A team gets no more than it wants;
-// what it leaves is divided among the others in the same way. The result is
-// each team's part of the fleet, between 0 and 1.
+// FairShares returns the weighted max-min fair share of each team as a fraction
+// of the fleet. A team gets at most what it wants; the rest is divided among the
+// other teams by weight.
 //
-// The dominant shares of different teams may be of different resources, so
-// that together they can exceed 1. The division treats them as one resource,
-// which errs on the side of too small a share.
+// The dominant resources of the teams may differ, so their dominant shares can
+// add up to more than 1. FairShares treats them as one resource, so a share may
+// be too small but not too large.
 func FairShares(claims []Claim) map[string]float64 {
 	order := append([]Claim(nil), claims...)
 	sort.Slice(order, func(i, j int) bool {
@@ -42,9 +42,11 @@
 	return shares
 }
 
+// perWeight returns the wanted share divided by the weight.
 func (c Claim) perWeight() float64 { return c.Wants / float64(max(c.Weight, 1)) }
 
-// Shares returns the fair share of every team that runs or waits under the view.
+// Shares returns the fair share of every team with running or waiting work. The
+// argument is the total size of each team's waiting work.
 func (v *View) Shares(waiting map[string]jobs.Size) map[string]float64 {
 	teams := map[string]jobs.Size{}
 	for team, used := range v.Used {
