--- a/internal/cell/trust/trust.go
+++ b/internal/cell/trust/trust.go
@@ -1,14 +1,16 @@
-// Package trust finds workers that fail what they start.
+// Package trust detects workers on which every task fails and quarantines them.
 //
-// Such a worker is dangerous because it is always free: it attracts work and
-// spoils it. A failure alone says little, since a job may fail everywhere. A
-// worker is therefore quarantined only when several different jobs have failed
-// on it in a row while most of what ended on the group's other workers went
-// well. After a time it is probed with one idempotent task at a time; a
-// success returns it to service, and a failure doubles the time.
+// A faulty worker that fails tasks quickly always has free capacity, so the
+// scheduler keeps placing tasks on it. A single failure is not sufficient
+// evidence, because a faulty job fails on every worker. A worker is quarantined
+// when several different jobs have failed on it in a row while most recent
+// attempts on the group's other workers succeeded. After the quarantine it is
+// probed with one idempotent task at a time: a success ends the quarantine, and a
+// failure starts a new one of twice the length.
 //
-// Rejected way: comparing each failed task with its own next attempt. It needs
-// an attempt elsewhere first, and the bad worker spoils hundreds meanwhile.
+// Comparing each failed attempt with the task's next attempt on another worker
+// was rejected: it has to wait for that attempt, and meanwhile hundreds of tasks
+// fail on the faulty worker.
 //
 // # Usage
 //
@@ -17,37 +19,38 @@
 //	switch t.State("w3", now) { ... }
 package trust
 
-// Config bounds the judgement. Zero fields take the defaults.
+// Config holds the limits of the detection. Zero fields take the defaults.
 type Config struct {
-	FailedJobs int   // different jobs that have to fail in a row; default 3
-	RestMs     int64 // first quarantine in milliseconds; default 5,000
-	MaxRestMs  int64 // longest quarantine in milliseconds; default 300,000
+	FailedJobs      int   // different jobs that must fail in a row; default 3
+	QuarantineMs    int64 // length of the first quarantine; default 5,000
+	MaxQuarantineMs int64 // maximum length of a quarantine; default 300,000
 }
 
+// Defaults of Config, and limits of the comparison with other workers.
 const (
-	defaultFailedJobs = 3
-	defaultRestMs     = 5_000
-	defaultMaxRestMs  = 300_000
+	defaultFailedJobs      = 3
+	defaultQuarantineMs    = 5_000
+	defaultMaxQuarantineMs = 300_000
 
-	recentEnds = 64 // ends on other workers that the judgement looks at
-	minOthers  = 4  // ends on other workers that it needs
+	maxRecentEnds = 64 // recent ends that are kept for the comparison
+	minOtherEnds  = 4  // ends on other workers that the comparison needs
 )
 
-// State says what may be placed on a worker.
+// State is the state of a worker. It restricts what may be placed on it.
 type State uint8
 
 // The states.
 const (
-	Trusted     State = iota // anything
-	Quarantined              // nothing
+	Trusted     State = iota // all tasks
+	Quarantined              // no tasks
 	Probing                  // one idempotent task at a time
 )
 
 // String returns the state's name.
 func (s State) String() string { return [...]string{"trusted", "quarantined", "probing"}[s] }
 
-// End is how one attempt ended. Ends that say nothing about the worker, such
-// as a stop on request, are not noted.
+// End is the end of one attempt. Ends that are no evidence for or against the
+// worker, such as a requested stop, must not be passed to Note.
 type End struct {
 	Worker string
 	Job    string
@@ -55,78 +58,82 @@
 	AtMs   int64
 }
 
-// Trust judges the workers of one group. It is not safe for concurrent use.
+// Trust tracks the states of one group's workers. It is not safe for concurrent
+// use.
 type Trust struct {
 	cfg     Config
-	workers map[string]*record
-	recent  []End // a ring of the newest ends
-	next    int
+	workers map[string]*workerRecord
+	recent  []End // ring buffer of the latest ends
+	next    int   // index of the oldest end once recent is full
 }
 
-type record struct {
-	failed  map[string]bool // jobs that failed since the last success
-	restMs  int64           // length of the present quarantine; 0 if trusted
-	untilMs int64
+// workerRecord is the evidence and the quarantine of one worker.
+type workerRecord struct {
+	failed       map[string]bool // jobs that failed since the last success
+	quarantineMs int64           // length of the current quarantine; 0 if trusted
+	untilMs      int64           // end of the current quarantine
 }
 
-// New returns a judge that trusts every worker.
+// New returns a Trust in which every worker is trusted.
 func New(cfg Config) *Trust {
 	if cfg.FailedJobs == 0 {
 		cfg.FailedJobs = defaultFailedJobs
 	}
-	if cfg.RestMs == 0 {
-		cfg.RestMs = defaultRestMs
+	if cfg.QuarantineMs == 0 {
+		cfg.QuarantineMs = defaultQuarantineMs
 	}
-	if cfg.MaxRestMs == 0 {
-		cfg.MaxRestMs = defaultMaxRestMs
+	if cfg.MaxQuarantineMs == 0 {
+		cfg.MaxQuarantineMs = defaultMaxQuarantineMs
 	}
-	return &Trust{cfg: cfg, workers: map[string]*record{}}
+	return &Trust{cfg: cfg, workers: map[string]*workerRecord{}}
 }
 
-// Note takes one end and reports whether the worker's state changed by it.
+// Note records one end and reports whether it started or ended a quarantine of
+// its worker.
 func (t *Trust) Note(e End) bool {
-	t.remember(e)
+	t.addRecent(e)
 	r := t.workers[e.Worker]
 	if r == nil {
-		r = &record{failed: map[string]bool{}}
+		r = &workerRecord{failed: map[string]bool{}}
 		t.workers[e.Worker] = r
 	}
 	if e.OK {
-		changed := r.restMs > 0
+		changed := r.quarantineMs > 0
 		clear(r.failed)
-		r.restMs, r.untilMs = 0, 0
+		r.quarantineMs, r.untilMs = 0, 0
 		return changed
 	}
 	r.failed[e.Job] = true
 	switch {
-	case r.restMs > 0 && e.AtMs < r.untilMs:
-		return false // started before the quarantine
-	case r.restMs > 0:
-		r.restMs = min(2*r.restMs, t.cfg.MaxRestMs)
-	case len(r.failed) >= t.cfg.FailedJobs && t.othersDoWell(e.Worker):
-		r.restMs = t.cfg.RestMs
+	case r.quarantineMs > 0 && e.AtMs < r.untilMs:
+		return false // the attempt started before the quarantine
+	case r.quarantineMs > 0:
+		r.quarantineMs = min(2*r.quarantineMs, t.cfg.MaxQuarantineMs)
+	case len(r.failed) >= t.cfg.FailedJobs && t.othersSucceed(e.Worker):
+		r.quarantineMs = t.cfg.QuarantineMs
 	default:
 		return false
 	}
-	r.untilMs = e.AtMs + r.restMs
+	r.untilMs = e.AtMs + r.quarantineMs
 	return true
 }
 
-func (t *Trust) remember(e End) {
-	if len(t.recent) < recentEnds {
+// addRecent adds e to the ring buffer.
+func (t *Trust) addRecent(e End) {
+	if len(t.recent) < maxRecentEnds {
 		t.recent = append(t.recent, e)
 		return
 	}
 	t.recent[t.next] = e
-	t.next = (t.next + 1) % recentEnds
+	t.next = (t.next + 1) % maxRecentEnds
 }
 
-// othersDoWell reports whether most recent ends on other trusted workers were
-// successes. Without enough of them nothing can be concluded.
-func (t *Trust) othersDoWell(worker string) bool {
+// othersSucceed reports whether most recent ends on other trusted workers were
+// successes. It returns false if there are fewer than minOtherEnds of them.
+func (t *Trust) othersSucceed(worker string) bool {
 	good, all := 0, 0
 	for _, e := range t.recent {
-		if e.Worker == worker || t.workers[e.Worker].restMs > 0 {
+		if e.Worker == worker || t.workers[e.Worker].quarantineMs > 0 {
 			continue
 		}
 		all++
@@ -134,14 +141,14 @@
 			good++
 		}
 	}
-	return all >= minOthers && 2*good > all
+	return all >= minOtherEnds && 2*good > all
 }
 
-// State returns what may be placed on the worker.
+// State returns the state of the worker.
 func (t *Trust) State(worker string, nowMs int64) State {
 	r := t.workers[worker]
 	switch {
-	case r == nil || r.restMs == 0:
+	case r == nil || r.quarantineMs == 0:
 		return Trusted
 	case nowMs < r.untilMs:
 		return Quarantined
@@ -149,11 +156,12 @@
 	return Probing
 }
 
-// Distrusted lists the workers that are not trusted.
+// Distrusted returns the ids of the workers that are not trusted, in no particular
+// order.
 func (t *Trust) Distrusted() []string {
 	var list []string
 	for id, r := range t.workers {
-		if r.restMs > 0 {
+		if r.quarantineMs > 0 {
 			list = append(list, id)
 		}
 	}
--- a/internal/cell/trust/trust_test.go
+++ b/internal/cell/trust/trust_test.go
@@ -11,11 +11,12 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestScripts runs the scripts in testdata. A line is one of
+// TestScripts runs the scripts in testdata. A line starts with the time in
+// milliseconds and has one of the forms
 //
-//	MS ok WORKER JOB
-//	MS fail WORKER JOB
-//	MS state WORKER STATE
+//	MS ok WORKER JOB       an attempt of JOB succeeded on WORKER
+//	MS fail WORKER JOB     an attempt of JOB failed on WORKER
+//	MS state WORKER STATE  checks the state of WORKER
 func TestScripts(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
 	assert.NilError(t, err)
@@ -37,18 +38,18 @@
 			continue
 		}
 		var ms int64
-		var verb, worker, arg string
-		_, err := fmt.Sscan(line, &ms, &verb, &worker, &arg)
+		var command, worker, arg string
+		_, err := fmt.Sscan(line, &ms, &command, &worker, &arg)
 		assert.NilError(t, err, line)
-		switch verb {
+		switch command {
 		case "ok", "fail":
-			tr.Note(End{Worker: worker, Job: arg, OK: verb == "ok", AtMs: ms})
+			tr.Note(End{Worker: worker, Job: arg, OK: command == "ok", AtMs: ms})
 		case "state":
 			states++
 			assert.Equal(t, tr.State(worker, ms).String(), arg, line)
 		default:
-			t.Fatalf("line %q has no known verb", line)
+			t.Fatalf("line %q: unknown command", line)
 		}
 	}
-	assert.Assert(t, states > 0, "the script checks nothing")
+	assert.Assert(t, states > 0, "the script has no state line")
 }
