--- a/internal/node/owner/accept.go
+++ b/internal/node/owner/accept.go
@@ -10,30 +10,31 @@
 	"lagooncourse/internal/node/wire"
 )
 
-// This file serves callers and operators: it accepts jobs, tells how they
-// stand, and takes cancellations and decisions about parked tasks. Whatever it
-// answers as accepted is in the log.
+// This file serves callers and operators: it accepts jobs, returns their status,
+// cancels them, and applies decisions about parked tasks. A request is confirmed
+// only after its record is in the log.
 
-// Submit records a job and returns it. A repetition with the same submission
-// id returns the job that was recorded first.
+// Submit records a job and returns it. A repeated submission id returns the job
+// that was recorded first.
 func (g *Group) Submit(ctx context.Context, spec jobs.Spec) (j jobs.Job, err error) {
 	defer fault.Note(&err, "submit job %q", spec.Name)
-	if j, found, err := g.submitted(spec); found || err != nil {
+	if j, found, err := g.findSubmission(spec); found || err != nil {
 		return j, err
 	}
 	err = g.commit(ctx, group.Record{Submit: &group.Submit{Spec: spec, AtMs: g.nowMs()}})
 	if err != nil {
 		return j, err
 	}
-	j, found, err := g.submitted(spec)
+	j, found, err := g.findSubmission(spec)
 	if err == nil && !found {
 		err = fault.New(fault.Internal, fault.Unknown, "the job is missing after its record was applied")
 	}
 	return j, err
 }
 
-// submitted returns the job of a submission, if it has been recorded.
-func (g *Group) submitted(spec jobs.Spec) (j jobs.Job, found bool, err error) {
+// findSubmission returns the recorded job of a submission, if any. It fails if
+// the recorded job has a different spec.
+func (g *Group) findSubmission(spec jobs.Spec) (j jobs.Job, found bool, err error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.epoch == 0 {
@@ -41,13 +42,13 @@
 	}
 	j, found = g.state.Job(g.state.Subs[group.SubKey(spec.Team, spec.Submission)])
 	if found && j.Spec != spec {
-		err = fault.New(fault.Conflict, fault.NotRun, "submission %q was made before with another content, as job %q", spec.Submission, j.ID)
+		err = fault.New(fault.Conflict, fault.NotRun, "submission %q already exists with a different spec, as job %q", spec.Submission, j.ID)
 	}
 	return j, found, err
 }
 
-// Status returns a job and why it waits. It waits up to msg.WaitMs for the
-// job's end.
+// Status returns a job and the recent explanations of its status. It waits up to
+// msg.WaitMs for the job's end.
 func (g *Group) Status(ctx context.Context, msg wire.StatusMsg) (a wire.StatusAnswer, err error) {
 	deadline := time.After(time.Duration(msg.WaitMs) * time.Millisecond)
 	for {
@@ -65,6 +66,8 @@
 	}
 }
 
+// status returns a job's status and a channel that is closed at the next change
+// of the group's state.
 func (g *Group) status(id jobs.ID) (wire.StatusAnswer, <-chan struct{}, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -75,10 +78,10 @@
 	if !ok {
 		return wire.StatusAnswer{}, nil, fault.New(fault.NotFound, fault.NotRun, "job %q does not exist", id)
 	}
-	return wire.StatusAnswer{Job: j, Why: append([]string(nil), g.why[id]...)}, g.changed, nil
+	return wire.StatusAnswer{Job: j, Why: append([]string(nil), g.reasons[id]...)}, g.changed, nil
 }
 
-// Cancel asks for the end of a job.
+// Cancel records the cancellation of a job. Its placed tasks are stopped later.
 func (g *Group) Cancel(ctx context.Context, id jobs.ID) (j jobs.Job, err error) {
 	defer fault.Note(&err, "cancel job %q", id)
 	if _, _, err := g.status(id); err != nil {
--- a/internal/node/owner/commit.go
+++ b/internal/node/owner/commit.go
@@ -9,32 +9,33 @@
 	"lagooncourse/internal/plat/stream"
 )
 
-// This file adds records to the group's stream. Proposals that arrive while an
-// append is under way go together into the next one, so the number of appends
-// depends on the interval and not on the load.
+// This file appends records to the group's stream. Proposals that arrive during
+// an append are batched into the next one, so the append rate depends on the
+// commit interval and not on the load.
 //
-// An append whose answer is lost is repeated with the same sequence number.
-// Whichever copy lands first is applied, the other is void. An append is only
-// reported as not run when a later epoch has made it void for ever.
+// An append without a response is retried with the same sequence number. The
+// first copy in the stream is applied, later copies are void. An append is
+// reported as NotRun only after a later epoch has made it void permanently.
 
 const (
-	giveUpAfter     = 2 * time.Second // for an append of a group that this host should not own
-	maxPending      = 20_000          // proposals
-	maxBatchRecords = 5_000
-	appendRetry     = 50 * time.Millisecond
-	maxAppendRetry  = time.Second
+	unwantedAppendTimeout = 2 * time.Second // for an append of a group that this host should no longer own
+	maxPending            = 20_000          // proposals
+	maxBatchRecords       = 5_000
+	minAppendBackoff      = 50 * time.Millisecond
+	maxAppendBackoff      = time.Second
 )
 
-// propose queues records for the next append. The caller holds the lock.
+// propose adds a proposal to those of the next append. The caller holds the
+// lock.
 func (g *Group) propose(p proposal) error {
 	switch {
 	case g.epoch == 0:
 		return notOwner(g.cfg.Name)
 	case len(g.pending) >= maxPending:
-		return fault.New(fault.Overload, fault.NotRun, "group %q has %d changes under way", g.cfg.Name, maxPending).WithRetryAfter(1)
+		return fault.New(fault.Overload, fault.NotRun, "group %q has %d pending changes", g.cfg.Name, maxPending).WithRetryAfter(1)
 	}
 	g.pending = append(g.pending, p)
-	g.poke()
+	g.wakeLoop()
 	return nil
 }
 
@@ -42,14 +43,14 @@
 	return fault.New(fault.NotOwner, fault.NotRun, "this host does not own group %q", name)
 }
 
-// commit proposes records and waits until they are durable. When ctx ends
-// before that, the outcome is Unknown: the records may still become durable.
+// commit proposes records and waits until they are durable. If ctx ends first,
+// the outcome is Unknown, since the records may still become durable.
 func (g *Group) commit(ctx context.Context, records ...group.Record) error {
 	done := make(chan error, 1)
 	g.mu.Lock()
 	if g.logDown {
 		g.mu.Unlock()
-		return fault.New(fault.Unavailable, fault.NotRun, "the log does not answer").WithRetryAfter(1)
+		return fault.New(fault.Unavailable, fault.NotRun, "the log does not respond").WithRetryAfter(1)
 	}
 	err := g.propose(proposal{records: records, done: func(err error) { done <- err }})
 	g.mu.Unlock()
@@ -64,10 +65,10 @@
 	}
 }
 
-// flush appends what is pending, if anything, and returns when it is durable
-// or void.
+// flush appends a batch of pending records, if any, and waits until it is
+// durable or void. It then waits for the commit interval.
 func (g *Group) flush(ctx context.Context) {
-	batch, taken := g.take()
+	batch, taken := g.takeBatch()
 	if len(taken) == 0 {
 		return
 	}
@@ -83,8 +84,9 @@
 	}
 }
 
-// take removes up to maxBatchRecords pending records and makes a batch of them.
-func (g *Group) take() (group.Batch, []proposal) {
+// takeBatch removes pending proposals until they hold maxBatchRecords records,
+// and returns them with their batch.
+func (g *Group) takeBatch() (group.Batch, []proposal) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	b := group.Batch{Epoch: g.epoch, Seq: g.state.Seq + 1}
@@ -98,37 +100,38 @@
 	return b, taken
 }
 
-// append makes one batch durable. A nil error means that it has been applied.
+// append appends one batch and retries until its outcome is settled. A nil
+// error means that the batch has been applied.
 func (g *Group) append(ctx context.Context, b group.Batch) error {
 	data, err := encodeBatch(b)
 	if err != nil {
 		return err
 	}
-	wait := appendRetry
+	backoff := minAppendBackoff
 	started := g.cfg.Clock.Now()
 	for {
 		offset, err := g.cfg.Log.Append(ctx, g.replay.Stream, data)
 		if err == nil && g.applyAppended(offset, data) {
 			return nil
 		}
-		g.noteLog(err)
+		g.updateLogDown(err)
 		if verdict, settled := g.readBack(ctx, b); settled {
 			return verdict
 		}
 		select {
-		case <-time.After(wait):
+		case <-time.After(backoff):
 		case <-ctx.Done():
-			return fault.New(fault.Unavailable, fault.Unknown, "the host stopped before the log confirmed")
+			return fault.New(fault.Unavailable, fault.Unknown, "the host stopped before the log confirmed the change")
 		}
-		if !g.isWanted() && g.cfg.Clock.Now().Sub(started) > giveUpAfter {
-			return fault.New(fault.Unavailable, fault.Unknown, "the group is given up before the log confirmed")
+		if !g.isWanted() && g.cfg.Clock.Now().Sub(started) > unwantedAppendTimeout {
+			return fault.New(fault.Unavailable, fault.Unknown, "the group is being released and the log has not confirmed the change")
 		}
-		wait = min(2*wait, maxAppendRetry)
+		backoff = min(2*backoff, maxAppendBackoff)
 	}
 }
 
-// applyAppended applies the batch without a read, if no other record came
-// between it and the last applied one.
+// applyAppended applies an appended batch without reading it back. It returns
+// false if offset is not the next one to apply, or if the batch was void.
 func (g *Group) applyAppended(offset int64, data []byte) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -138,37 +141,39 @@
 	seq := g.state.Seq
 	g.replay.Take(stream.Page{Next: offset + 1, Records: []stream.Record{{Offset: offset, Data: data}}})
 	g.logDown = false
-	g.committed()
+	g.notifyChanged()
 	return g.state.Seq == seq+1
 }
 
-// committed wakes those who wait for changes. The caller holds the lock.
-func (g *Group) committed() {
+// notifyChanged wakes all goroutines that wait for a change of the state, and
+// counts the commit. The caller holds the lock.
+func (g *Group) notifyChanged() {
 	g.stats.Commits++
 	close(g.changed)
 	g.changed = make(chan struct{})
 }
 
-// readBack finds out whether the batch has been applied or has become void.
-// Neither is settled while the log is silent or the batch is not in it yet.
+// readBack reads the stream to find out whether the batch has been applied or
+// is void. The outcome is not settled while the log does not respond or does
+// not contain the batch.
 func (g *Group) readBack(ctx context.Context, b group.Batch) (verdict error, settled bool) {
 	err := g.catchUp(ctx, g.replay)
-	g.noteLog(err)
+	g.updateLogDown(err)
 	if err != nil {
 		return nil, false
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.committed()
+	g.notifyChanged()
 	applied, settled := g.state.Verdict(b.Epoch, b.Seq)
 	if g.state.Epoch != b.Epoch {
-		g.lose("another host claimed it")
+		g.dropOwnership("another host claimed it")
 	}
 	switch {
 	case applied:
 		return nil, true
 	case settled:
-		return fault.New(fault.Unavailable, fault.NotRun, "group %q went to %q before the change", g.cfg.Name, g.state.Owner.Host), true
+		return fault.New(fault.Unavailable, fault.NotRun, "group %q was claimed by host %q before the change", g.cfg.Name, g.state.Owner.Host), true
 	case g.epoch == 0:
 		return fault.New(fault.Unavailable, fault.Unknown, "group %q has had two owners since the change", g.cfg.Name), true
 	}
@@ -176,7 +181,8 @@
 }
 
 // confirmOwner returns an error unless the log shows that this host still owns
-// the group now. What it says about its workers is only then the last word.
+// the group. Without that check, statements about the group's workers may
+// contradict those of a later owner.
 func (g *Group) confirmOwner(ctx context.Context) error {
 	g.mu.Lock()
 	replay, epoch := g.replay, g.epoch
@@ -190,25 +196,25 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.state.Epoch != epoch || g.epoch != epoch {
-		g.lose("another host claimed it")
+		g.dropOwnership("another host claimed it")
 		return notOwner(g.cfg.Name)
 	}
 	return nil
 }
 
-// noteLog remembers whether the log answers.
-func (g *Group) noteLog(err error) {
+// updateLogDown records whether the log responds. An overloaded log does.
+func (g *Group) updateLogDown(err error) {
 	down := err != nil && !fault.Is(err, fault.Overload)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.logDown = down
 }
 
-// release hands the group over: it takes no new calls, finishes those under
-// way, and records that the epoch is over. A call that was left behind could
-// only be answered with an unknown outcome by the next owner.
+// release hands the group over. It refuses new calls, waits for those in
+// progress, and records the end of the epoch. For a call that is still in
+// progress then, the next owner can only report an unknown outcome.
 func (g *Group) release(ctx context.Context) {
-	g.finishFlights(ctx)
+	g.finishCalls(ctx)
 	ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
 	g.mu.Lock()
@@ -217,10 +223,10 @@
 		return
 	}
 	b := group.Batch{Epoch: g.epoch, Seq: g.state.Seq + 1, Release: true}
-	left := g.pending
+	remaining := g.pending
 	g.pending = nil
 	g.mu.Unlock()
-	for _, p := range left {
+	for _, p := range remaining {
 		if p.done != nil {
 			p.done(notOwner(g.cfg.Name))
 		}
@@ -232,27 +238,28 @@
 	g.log.Info("released group", "epoch", b.Epoch, "err", err)
 }
 
-// finishFlights commits until no call is under way, up to flightTimeout.
-func (g *Group) finishFlights(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, flightTimeout)
+// finishCalls commits until no call is in progress, for up to
+// callDrainTimeout.
+func (g *Group) finishCalls(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, callDrainTimeout)
 	defer cancel()
 	g.mu.Lock()
-	g.closing = true
+	g.releasing = true
 	g.mu.Unlock()
 	for ctx.Err() == nil {
 		g.flush(ctx)
 		g.mu.Lock()
-		idle := g.epoch == 0 || g.logDown || len(g.flights) == 0 && len(g.pending) == 0
+		idle := g.epoch == 0 || g.logDown || len(g.inflight) == 0 && len(g.pending) == 0
 		g.mu.Unlock()
 		if idle {
 			return
 		}
-		g.sleep(ctx, idleWait)
+		g.sleep(ctx, idleInterval)
 	}
 }
 
-// flightTimeout bounds how long a hand-over waits for calls under way.
-const flightTimeout = 10 * time.Second
+// callDrainTimeout bounds how long a handover waits for calls in progress.
+const callDrainTimeout = 10 * time.Second
 
-// releaseTimeout bounds the hand-over of a group when the log is slow.
+// releaseTimeout bounds the append that releases a group.
 const releaseTimeout = 3 * time.Second
--- a/internal/node/owner/evict.go
+++ b/internal/node/owner/evict.go
@@ -11,37 +11,36 @@
 	"lagooncourse/internal/node/wire"
 )
 
-// This file stops running work, with its state kept, for work that matters
-// more: batch for urgent tasks that find no room, and tasks of teams above
-// their share for teams below it.
+// This file preempts running batch tasks, with a checkpoint: for urgent tasks
+// that do not fit, and for teams below their fair share.
 
-// saveFor is how long the room that evicted tasks leave is kept for the urgent
-// one, in milliseconds.
-const saveFor = 1000
+// evictHoldMs is how long the capacity that an eviction frees is held for the
+// urgent task.
+const evictHoldMs = 1000
 
-// evict makes room on one of the group's workers for an urgent plan. The
-// caller holds the lock.
+// evict stops batch tasks on one of the group's workers so that an urgent plan
+// with a single attempt fits there. The caller holds the lock.
 func (g *Group) evict(pl *plan, cell *config.State) {
-	if !g.preempts() || pl.item.Kind != jobs.Urgent || len(pl.asks) != 1 || !g.azFits(pl.item, cell) {
+	if !g.preempts() || pl.item.Kind != jobs.Urgent || len(pl.asks) != 1 || !g.azAllows(pl.item, cell) {
 		return
 	}
 	now := g.nowMs()
-	victims := g.books.Evict(pl.asks[0], now, now+saveFor)
+	victims := g.books.Evict(pl.asks[0], now, now+evictHoldMs)
 	g.stats.Evicted += int64(len(victims))
 	g.stopAll(victims)
 }
 
-// preempts reports whether the policy lets running work be stopped.
+// preempts reports whether the policy allows preemption.
 func (g *Group) preempts() bool {
 	p, ok := g.cfg.Policy.(queue.Preemptor)
 	return ok && p.Preempts()
 }
 
-// stopAll asks for the end of attempts on the group's own workers.
+// stopAll sends stop requests for attempts on the group's own workers.
 func (g *Group) stopAll(list []books.Attempt) {
 	for _, at := range list {
 		go func() {
-			ctx, cancel := context.WithTimeout(context.Background(), whereTimeout)
+			ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 			defer cancel()
 			_ = g.Stop(ctx, wire.StopMsg{Group: g.cfg.Name, Attempt: at, Checkpoint: true})
 		}()
@@ -49,13 +48,13 @@
 }
 
 const (
-	maxRebalance = 4    // tasks of one group that are stopped for others' shares at each look
-	shareSlack   = 0.02 // of the fleet by which shares may differ before a task is stopped
-	fullFleet    = 0.05 // free part of the fleet below which it counts as full
+	maxRebalanceStops = 4    // tasks of one group that one round stops for fairness
+	shareTolerance    = 0.02 // fraction of the fleet by which a team's use may deviate from its fair share
+	minFreeFraction   = 0.05 // free fraction of the fleet below which it counts as full
 )
 
-// overShare lists placed batch tasks of teams above their fair share, while the
-// fleet is full and another team with waiting work is below its own. The
+// overShare returns placed batch tasks of teams above their fair share, if the
+// fleet is full and another team with waiting work is below its fair share. The
 // caller holds the lock.
 func (g *Group) overShare() map[jobs.Ref]bool {
 	over := map[jobs.Ref]bool{}
@@ -67,12 +66,12 @@
 		return over
 	}
 	shares := view.Shares(waiting)
-	if !starved(&view, shares, waiting) {
+	if !anyStarved(&view, shares, waiting) {
 		return over
 	}
-	for _, team := range teamsOver(&view, shares) {
+	for _, team := range teamsOverShare(&view, shares) {
 		for _, ref := range g.stopOrder(team) {
-			if len(over) >= maxRebalance {
+			if len(over) >= maxRebalanceStops {
 				return over
 			}
 			if g.state.Jobs[ref.Job].Spec.Kind != jobs.Batch {
@@ -86,35 +85,36 @@
 			view.Used[team] = view.Used[team].Minus(size)
 		}
 	}
-	g.stats.Balanced += int64(len(over))
+	g.stats.Rebalanced += int64(len(over))
 	return over
 }
 
-// fleetFull reports whether almost nothing is free in the fleet.
+// fleetFull reports whether almost all of the fleet's CPU capacity is in use.
 func (g *Group) fleetFull(fleet jobs.Size) bool {
 	var free jobs.Size
 	for _, d := range g.cfg.Remote.Duties() {
 		free = free.Plus(d.Free)
 	}
-	return fleet.CPU > 0 && float64(free.CPU) < fullFleet*float64(fleet.CPU)
+	return fleet.CPU > 0 && float64(free.CPU) < minFreeFraction*float64(fleet.CPU)
 }
 
-// starved reports whether a team with waiting work is below its share.
-func starved(v *queue.View, shares map[string]float64, waiting map[string]jobs.Size) bool {
+// anyStarved reports whether any team with waiting work is below its fair share.
+func anyStarved(v *queue.View, shares map[string]float64, waiting map[string]jobs.Size) bool {
 	for team := range waiting {
-		if v.Used[team].Dominant(v.Fleet)+shareSlack < shares[team] {
+		if v.Used[team].Dominant(v.Fleet)+shareTolerance < shares[team] {
 			return true
 		}
 	}
 	return false
 }
 
-// teamsOver lists the teams above their share, the one furthest above first.
-func teamsOver(v *queue.View, shares map[string]float64) []string {
+// teamsOverShare returns the teams above their fair share, in descending order
+// of the excess.
+func teamsOverShare(v *queue.View, shares map[string]float64) []string {
 	var teams []string
 	above := func(team string) float64 { return v.Used[team].Dominant(v.Fleet) - shares[team] }
 	for team := range v.Used {
-		if above(team) > shareSlack {
+		if above(team) > shareTolerance {
 			teams = append(teams, team)
 		}
 	}
--- a/internal/node/owner/group.go
+++ b/internal/node/owner/group.go
@@ -1,22 +1,23 @@
-// Package owner runs one group on one entry host: it claims the group when the
-// host should have it, accepts and places the group's jobs, keeps the books of
-// the group's workers, and gives the group up.
+// Package owner runs one group on one entry host. It claims the group when the
+// host should own it, accepts and places the group's jobs, tracks the capacity
+// of the group's workers, and releases the group.
 //
-// A group plays two parts. As the home of its jobs it records what was
-// accepted, every intent and every end. As the keeper of its workers it books
-// room and talks to them. A job's home may place tasks on any group's workers;
-// the two parts talk through the Remote interface, also when both are the same
-// group.
+// A group has two roles. As the home group of its jobs it records accepted
+// jobs, start intents and ends of attempts. As the group of its workers it
+// reserves capacity on them and sends them requests. A home group may place
+// tasks on the workers of any group. The two roles communicate through the
+// Remote interface, even within one group.
 //
-// The order that keeps the promises:
+// The following order ensures that no attempt runs without a recorded intent
+// and that no end is lost:
 //
-//	reserve at the keeper -> record the intent at home -> start at the keeper
-//	end reported by the worker -> recorded at home -> forgotten at the keeper
+//	reserve at the worker's group -> record the intent at home -> start at the worker's group
+//	end reported by the worker -> recorded at home -> deleted at the worker's group
 //
-// An attempt for which nothing is recorded has never been sent. An attempt that
-// is recorded is in doubt until its keeper says what became of it.
+// An attempt without a recorded intent has never been sent. An attempt with a
+// recorded intent is unconfirmed until the worker's group reports its state.
 //
-// All state of a Group is guarded by its own lock; groups share nothing. No
+// Each Group guards all of its state by its own lock; groups share nothing. No
 // request is sent while the lock is held.
 //
 // # Usage
@@ -48,46 +49,46 @@
 	"lagooncourse/internal/plat/worker"
 )
 
-// Remote reaches the owners of groups, this one included. Errors are
-// *fault.Error.
+// Remote sends requests to the owners of groups, including this group. Errors
+// are *fault.Error.
 type Remote interface {
 	Reserve(ctx context.Context, msg wire.ReserveMsg) (wire.ReserveAnswer, error)
 	Start(ctx context.Context, msg wire.StartMsg) (wire.StartAnswer, error)
 	Stop(ctx context.Context, msg wire.StopMsg) error
 	Where(ctx context.Context, msg wire.WhereMsg) (wire.WhereAnswer, error)
 	Report(ctx context.Context, msg wire.ReportMsg) (wire.ReportAnswer, error)
-	// Duties lists the groups of all live owners.
+	// Duties lists the groups that live entry hosts own.
 	Duties() []wire.Duty
-	// MayClaim notes the holder of a group's newest epoch, as the log names
-	// it, and reports whether that holder may be replaced.
+	// MayClaim takes the holder of a group's newest epoch according to the
+	// log, and reports whether that holder may be replaced.
 	MayClaim(name string, epoch uint64, holder group.Holder) bool
 }
 
-// Cell is the configuration of the cell.
+// Cell gives access to the configuration of the cell.
 type Cell interface {
 	State() *config.State
-	// Fresh returns an error unless the state is surely recent enough to
+	// Fresh returns an error unless the state is known to be recent enough to
 	// start work under it.
 	Fresh() error
 	// Change appends a change of grants and returns once it has been applied
-	// or found void.
+	// or rejected as void.
 	Change(ctx context.Context, g config.Grants) error
 }
 
-// Timing holds the group's intervals and bounds.
+// Timing holds the group's intervals, timeouts and limits.
 type Timing struct {
-	Commit     time.Duration // least time between two appends of the group
-	Renew      time.Duration // a renewal waits so long at the worker
-	Lease      time.Duration // given to workers with every renewal
-	Margin     time.Duration // for the drift of clocks between two hosts
-	Reserve    time.Duration // how long a reservation holds
-	Reconcile  time.Duration // between two looks at attempts in doubt
-	Keep       time.Duration // how long ended jobs and calls are remembered
-	Snapshot   time.Duration // most time between two snapshots
-	SnapshotAt int64         // records since the last snapshot that call for one
+	Commit     time.Duration // minimum interval between two appends of the group
+	Renew      time.Duration // how long a worker may hold a renewal open
+	Lease      time.Duration // granted to a worker with every renewal
+	Margin     time.Duration // allowance for clock drift between two hosts
+	Reserve    time.Duration // lifetime of a reservation
+	Reconcile  time.Duration // interval between checks of unconfirmed attempts
+	Keep       time.Duration // retention of ended jobs and of calls
+	Snapshot   time.Duration // maximum interval between two snapshots
+	SnapshotAt int64         // records since the last snapshot that trigger the next
 }
 
-// DefaultTiming returns the intervals for a cell of today's size.
+// DefaultTiming returns the default timing, which suits current cell sizes.
 func DefaultTiming() Timing {
 	return Timing{
 		Commit: 25 * time.Millisecond, Renew: 2 * time.Second, Lease: 8 * time.Second, Margin: time.Second,
@@ -96,7 +97,7 @@
 	}
 }
 
-// Config describes a Group.
+// Config is the configuration of a Group.
 type Config struct {
 	Name   string
 	Az     string
@@ -111,60 +112,60 @@
 	Policy queue.Policy // nil means queue.Fair
 }
 
-// Group is one group on one entry host.
+// Group is one group on one entry host, whether or not the host owns it.
 type Group struct {
 	cfg Config
 	log logr.Logger
 
-	wake chan struct{} // there may be something to do
-
-	mu       sync.Mutex
-	state    *group.State
-	replay   *stream.Replay
-	epoch    uint64 // the epoch owned; 0 if not the owner
-	wanted   bool   // this host should own the group
-	closing  bool   // the group is being handed over; no call is taken
-	ownedAt  time.Time
-	books    *books.Books
-	trust    *trust.Trust
-	queue    *queue.Queue
-	workers  []hosts.Worker
-	keepers  map[string]*keeper // worker id -> its renewal loop
-	pending  []proposal
-	changed  chan struct{} // closed after every commit
-	placing  map[jobs.Ref]jobs.Size
-	held     map[jobs.Ref]queue.Item // out of the queue until retryAt
-	retryAt  map[jobs.Ref]time.Time
-	reserved map[string]jobs.Size // team -> size that is being placed
-	known    map[books.Attempt]uint64
-	why      map[jobs.ID][]string
-	flights  map[string]*flight // SubKey -> call under way
-	grants   grants
-	snapAt   time.Time
-	forgetAt time.Time
-	logDown  bool
-	stats    Stats
+	wake chan struct{} // wakes the loop of Run
+
+	mu           sync.Mutex
+	state        *group.State
+	replay       *stream.Replay
+	epoch        uint64 // the epoch owned; 0 if not the owner
+	wanted       bool   // this host should own the group
+	releasing    bool   // a handover is in progress; new calls are refused
+	ownedAt      time.Time
+	books        *books.Books
+	trust        *trust.Trust
+	queue        *queue.Queue
+	workers      []hosts.Worker
+	renewers     map[string]*leaseRenewer // worker id -> its lease renewer
+	pending      []proposal
+	changed      chan struct{}           // closed after every commit
+	placing      map[jobs.Ref]jobs.Size  // items being placed
+	delayed      map[jobs.Ref]queue.Item // kept out of the queue until retryAt
+	retryAt      map[jobs.Ref]time.Time
+	reserved     map[string]jobs.Size     // team -> total size being placed
+	confirmed    map[books.Attempt]uint64 // attempt -> epoch of the worker's group that confirmed it
+	reasons      map[jobs.ID][]string     // recent explanations of a job's status, newest last
+	inflight     map[string]*inflightCall // SubKey -> call in progress
+	grants       grantState
+	lastSnapshot time.Time
+	lastPurge    time.Time
+	logDown      bool
+	stats        Stats
 }
 
-// Stats counts what a group did on this host.
+// Stats counts the operations of a group on this host.
 type Stats struct {
-	Commits  int64 `json:"commits"`
-	Records  int64 `json:"records"`
-	Starts   int64 `json:"starts"`
-	Takeover int64 `json:"takeovers"`
-	Fenced   int64 `json:"fenced"`
-	Unsure   int64 `json:"unsureStarts"`
-	Evicted  int64 `json:"evicted"`    // batch tasks stopped for urgent work
-	Balanced int64 `json:"rebalanced"` // tasks stopped for teams below their share
+	Commits      int64 `json:"commits"`
+	Records      int64 `json:"records"`
+	Starts       int64 `json:"starts"`
+	Takeover     int64 `json:"takeovers"`
+	Fenced       int64 `json:"fenced"`
+	UnsureStarts int64 `json:"unsureStarts"`
+	Evicted      int64 `json:"evicted"`    // batch tasks stopped for urgent tasks
+	Rebalanced   int64 `json:"rebalanced"` // tasks stopped for teams below their fair share
 }
 
-// proposal is a number of records that are committed together or not at all.
+// proposal is a set of records that are committed atomically.
 type proposal struct {
 	records []group.Record
-	done    func(error) // called without the lock; nil after the commit
+	done    func(error) // called without the lock; the error is nil after a commit
 }
 
-// New returns a group that does not run yet.
+// New returns a group. Run starts it.
 func New(cfg Config) *Group {
 	if cfg.Policy == nil {
 		cfg.Policy = queue.Fair{}
@@ -178,24 +179,24 @@
 	return g
 }
 
-// reset forgets all that does not come from the log.
+// reset clears the state before a claim, which rebuilds it from the log.
 func (g *Group) reset() {
 	g.state = group.NewState(g.cfg.Name)
 	g.replay = &stream.Replay{Stream: group.StreamOf(g.cfg.Name), Machine: g.state}
 	g.books = books.New()
 	g.trust = trust.New(trust.Config{})
 	g.queue = queue.New(queue.Config{Policy: g.cfg.Policy})
-	g.keepers = map[string]*keeper{}
+	g.renewers = map[string]*leaseRenewer{}
 	g.changed = make(chan struct{})
 	g.placing = map[jobs.Ref]jobs.Size{}
-	g.held = map[jobs.Ref]queue.Item{}
+	g.delayed = map[jobs.Ref]queue.Item{}
 	g.retryAt = map[jobs.Ref]time.Time{}
 	g.reserved = map[string]jobs.Size{}
-	g.known = map[books.Attempt]uint64{}
-	g.why = map[jobs.ID][]string{}
-	g.flights = map[string]*flight{}
-	g.grants = newGrants()
-	g.closing = false
+	g.confirmed = map[books.Attempt]uint64{}
+	g.reasons = map[jobs.ID][]string{}
+	g.inflight = map[string]*inflightCall{}
+	g.grants = newGrantState()
+	g.releasing = false
 }
 
 // Name returns the group's name.
@@ -211,16 +212,16 @@
 	return g.epoch
 }
 
-// Want says whether this host should own the group. Wanting it starts a claim;
-// not wanting it any more starts a hand-over.
-func (g *Group) Want(on bool) {
+// Want sets whether this host should own the group. True starts a claim, false
+// starts a handover.
+func (g *Group) Want(want bool) {
 	g.mu.Lock()
-	g.wanted = on
+	g.wanted = want
 	g.mu.Unlock()
-	g.poke()
+	g.wakeLoop()
 }
 
-// SetWorkers takes the group's part of the host list.
+// SetWorkers sets the group's workers from the host list.
 func (g *Group) SetWorkers(list []hosts.Worker) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -230,8 +231,8 @@
 	}
 }
 
-// Duty describes the group for peers, or returns false if this host does not
-// own it.
+// Duty returns the group's description for peers, or false if this host does
+// not own the group.
 func (g *Group) Duty() (wire.Duty, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -244,51 +245,51 @@
 	for team, used := range g.state.Used {
 		d.Used[team] = used
 	}
-	d.Wanting, d.Waiting = g.grants.wanting(g.cfg.Clock.Now()), map[string]jobs.Size{}
+	d.Wanting, d.Waiting = g.grants.requesting(g.cfg.Clock.Now()), map[string]jobs.Size{}
 	for team, size := range g.queue.Demand() {
 		d.Waiting[team] = size
 	}
 	return d, true
 }
 
-// Abort drops the group without handing it over, as a crash would.
+// Abort drops ownership without a handover, as in a crash.
 func (g *Group) Abort() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.wanted = false
-	g.lose("the host was killed")
+	g.dropOwnership("the host was killed")
 }
 
-// poke wakes the group's loop.
-func (g *Group) poke() {
+// wakeLoop wakes the loop of Run.
+func (g *Group) wakeLoop() {
 	select {
 	case g.wake <- struct{}{}:
 	default:
 	}
 }
 
-// idleWait is how long the loop sleeps when nobody wakes it.
-const idleWait = 20 * time.Millisecond
+// idleInterval bounds the sleep of the loop without a wake-up.
+const idleInterval = 20 * time.Millisecond
 
 // Run claims, runs and releases the group until ctx ends. It returns after the
-// group has been released or could not be released in time.
+// release, or after the timeout of the release.
 func (g *Group) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if !g.isWanted() {
-			g.sleep(ctx, 5*idleWait)
+			g.sleep(ctx, 5*idleInterval)
 			continue
 		}
 		if err := g.claim(ctx); err != nil {
 			g.log.V(1).Info("claim failed", "err", err.Error())
-			g.sleep(ctx, claimRetry)
+			g.sleep(ctx, claimRetryInterval)
 			continue
 		}
-		g.own(ctx)
+		g.runOwned(ctx)
 	}
 }
 
-// claimRetry is the time between two tries to claim a group.
-const claimRetry = 200 * time.Millisecond
+// claimRetryInterval is the delay between two attempts to claim a group.
+const claimRetryInterval = 200 * time.Millisecond
 
 func (g *Group) isWanted() bool {
 	g.mu.Lock()
@@ -304,22 +305,22 @@
 	}
 }
 
-// claim reads the group's stream, claims the next epoch and opens the books.
+// claim replays the group's stream, claims the next epoch and starts it.
 func (g *Group) claim(ctx context.Context) (err error) {
 	defer fault.Note(&err, "claim group %q", g.cfg.Name)
 	g.mu.Lock()
 	g.reset()
-	g.state.Watch = (*watcher)(g)
+	g.state.Watch = (*taskObserver)(g)
 	replay := g.replay
 	g.mu.Unlock()
 	if err := g.catchUp(ctx, replay); err != nil {
 		return err
 	}
 	if !replay.Ready() {
-		return fault.New(fault.Unavailable, fault.NotRun, "stream has neither its beginning nor a usable snapshot")
+		return fault.New(fault.Unavailable, fault.NotRun, "the stream has neither its first record nor a usable snapshot")
 	}
 	if h := g.state.Owner; h.Host != "" && h.Host != g.cfg.Self.Host && !g.cfg.Remote.MayClaim(g.cfg.Name, g.state.Epoch, h) {
-		return fault.New(fault.Conflict, fault.NotRun, "host %q holds epoch %d", h.Host, g.state.Epoch)
+		return fault.New(fault.Conflict, fault.NotRun, "host %q owns epoch %d", h.Host, g.state.Epoch)
 	}
 	epoch := g.state.Epoch + 1
 	data, err := encodeBatch(group.Batch{Epoch: epoch, Claim: &g.cfg.Self})
@@ -333,16 +334,17 @@
 		return err
 	}
 	if g.state.Epoch != epoch || g.state.Owner != g.cfg.Self {
-		return fault.New(fault.Conflict, fault.NotRun, "epoch %d went to %q", g.state.Epoch, g.state.Owner.Host)
+		return fault.New(fault.Conflict, fault.NotRun, "epoch %d was claimed by host %q", g.state.Epoch, g.state.Owner.Host)
 	}
 	if err := g.cfg.Cell.Change(ctx, config.Grants{Group: g.cfg.Name, Fence: config.Fence{Epoch: epoch, Seq: 1}}); err != nil {
 		return err
 	}
-	g.open(epoch)
+	g.startEpoch(epoch)
 	return nil
 }
 
-// catchUp reads to the end of the stream. It takes the lock only to apply.
+// catchUp replays the stream to its end. It holds the lock to apply records,
+// but not during a read.
 func (g *Group) catchUp(ctx context.Context, replay *stream.Replay) error {
 	for {
 		g.mu.Lock()
@@ -361,46 +363,46 @@
 	}
 }
 
-// open starts the books of the new epoch.
-func (g *Group) open(epoch uint64) {
+// startEpoch initializes the state of a newly claimed epoch.
+func (g *Group) startEpoch(epoch uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.cfg.Clock.Now()
-	g.epoch, g.ownedAt, g.snapAt, g.forgetAt = epoch, now, now, now
+	g.epoch, g.ownedAt, g.lastSnapshot, g.lastPurge = epoch, now, now, now
 	g.grants.seq = 1
 	g.stats.Takeover++
 	g.syncWorkers()
 	g.log.Info("claimed group", "epoch", epoch, "jobs", len(g.state.Jobs), "queued", g.queue.Len())
 }
 
-// own runs the group until it is given up or lost.
-func (g *Group) own(ctx context.Context) {
-	run, cancel := context.WithCancel(context.WithoutCancel(ctx))
+// runOwned runs the group until it is released or its ownership is lost.
+func (g *Group) runOwned(ctx context.Context) {
+	runCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	defer context.AfterFunc(ctx, func() { g.Want(false) })()
-	g.startKeepers(run)
-	background := g.startBackground(run)
+	g.startRenewers(runCtx)
+	background := g.startBackground(runCtx)
 	for {
-		g.flush(run)
+		g.flush(runCtx)
 		if g.Epoch() == 0 {
 			break
 		}
 		if ctx.Err() != nil || !g.isWanted() {
-			g.release(run)
+			g.release(runCtx)
 			break
 		}
-		g.schedule(run)
-		g.sleep(ctx, idleWait)
+		g.schedule(runCtx)
+		g.sleep(ctx, idleInterval)
 	}
 	cancel()
 	background.Wait()
-	g.stopKeepers()
+	g.stopRenewers()
 }
 
-// startBackground starts the loops that do not place work.
+// startBackground starts all loops except the one that places work.
 func (g *Group) startBackground(ctx context.Context) *sync.WaitGroup {
 	var wg sync.WaitGroup
-	for _, loop := range []func(context.Context){g.reconcileLoop, g.reportLoop, g.grantLoop, g.housekeepLoop} {
+	for _, loop := range []func(context.Context){g.reconcileLoop, g.reportLoop, g.grantLoop, g.maintenanceLoop} {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
@@ -410,7 +412,7 @@
 	return &wg
 }
 
-// every calls fn at the interval until ctx ends.
+// every calls fn at the interval d until ctx ends.
 func every(ctx context.Context, d time.Duration, fn func(context.Context)) {
 	t := time.NewTicker(d)
 	defer t.Stop()
@@ -424,13 +426,13 @@
 	}
 }
 
-// lose gives the group up because somebody else has claimed it. The caller
-// holds the lock.
-func (g *Group) lose(why string) {
+// dropOwnership ends ownership without a release, usually because another host
+// has claimed the group. The caller holds the lock.
+func (g *Group) dropOwnership(reason string) {
 	if g.epoch == 0 {
 		return
 	}
-	g.log.Info("lost group", "epoch", g.epoch, "why", why, "owner", g.state.Owner.Host)
+	g.log.Info("lost group", "epoch", g.epoch, "why", reason, "owner", g.state.Owner.Host)
 	g.epoch = 0
 	g.stats.Fenced++
 }
@@ -443,5 +445,5 @@
 	return stream.EncodeRecord(data)
 }
 
-// nowMs returns the clock in milliseconds since 1970.
+// nowMs returns the clock's time in Unix milliseconds.
 func (g *Group) nowMs() int64 { return g.cfg.Clock.Now().UnixMilli() }
--- a/internal/node/owner/home.go
+++ b/internal/node/owner/home.go
@@ -10,30 +10,30 @@
 	"lagooncourse/internal/node/wire"
 )
 
-// This file follows the attempts of the group's jobs to their end. Ends come
-// in as reports from the keepers. For what no report tells, such as a start
-// whose answer was lost or a keeper that died, the home asks the keeper's
-// present owner.
+// This file tracks the attempts of the group's jobs until their end. The
+// workers' groups report ends. Some attempts need a query to the current owner
+// of the worker's group, for example after a start without a response or a
+// failure of that group's previous owner.
 
 const (
-	reportEvery    = 300 * time.Millisecond
-	reportTimeout  = 2 * time.Second
-	whereTimeout   = 2 * time.Second
-	maxWhereBatch  = 500
-	doubtAfterMs   = 1500 // milliseconds that a start may take before it is asked about
-	maxReportBatch = 500
+	reportInterval     = 300 * time.Millisecond
+	reportTimeout      = 2 * time.Second
+	requestTimeout     = 2 * time.Second
+	maxQueryBatch      = 500
+	unconfirmedAfterMs = 1500 // time since the start before an unconfirmed attempt is queried
+	maxReportBatch     = 500
 )
 
-// reportLoop sends the ends of attempts to their homes until each has
-// recorded them.
+// reportLoop sends the ends of attempts to their home groups until these have
+// recorded them. It also drains workers.
 func (g *Group) reportLoop(ctx context.Context) {
-	every(ctx, reportEvery, func(ctx context.Context) {
+	every(ctx, reportInterval, func(ctx context.Context) {
 		g.sendReports(ctx)
 		g.drain(ctx)
 	})
 }
 
-// sendReports sends every end that is not recorded yet.
+// sendReports sends the ends that no home group has confirmed as recorded.
 func (g *Group) sendReports(ctx context.Context) {
 	g.mu.Lock()
 	byHome := g.books.Reports()
@@ -59,15 +59,15 @@
 }
 
 // Report records the ends of attempts of the group's jobs. An attempt that is
-// not the running one of its task counts as recorded: either its end was
-// recorded before, or its job is gone. That is the last word only of an owner
-// that the log has confirmed; an attempt that is unknown here may be one that a
-// later owner has started, and its end must not be forgotten.
+// not the current one of its task counts as recorded: either its end was
+// recorded before, or its job has been deleted. This requires ownership
+// confirmed by the log, because a later owner may have started the attempt, and
+// its end must not be deleted.
 func (g *Group) Report(ctx context.Context, msg wire.ReportMsg) (a wire.ReportAnswer, err error) {
-	records, err := g.endsOf(msg)
+	records, err := g.endRecords(msg)
 	if err == nil && len(records) < len(msg.Reports) {
 		if err = g.confirmOwner(ctx); err == nil {
-			records, err = g.endsOf(msg)
+			records, err = g.endRecords(msg)
 		}
 	}
 	if err == nil && len(records) > 0 {
@@ -82,8 +82,8 @@
 	return a, nil
 }
 
-// endsOf returns the records for those reports that end a running attempt.
-func (g *Group) endsOf(msg wire.ReportMsg) ([]group.Record, error) {
+// endRecords returns the records of the reports that end a current attempt.
+func (g *Group) endRecords(msg wire.ReportMsg) ([]group.Record, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.epoch == 0 {
@@ -95,7 +95,7 @@
 		if err != nil {
 			continue
 		}
-		if _, ok := g.placed(ref, r.Attempt.Number); ok {
+		if _, ok := g.placedTask(ref, r.Attempt.Number); ok {
 			records = append(records, group.Record{End: &jobs.End{
 				Ref: ref, Attempt: r.Attempt.Number, How: r.How,
 				Result: r.Result, Checkpoint: r.Checkpoint, AtMs: g.nowMs(),
@@ -105,19 +105,20 @@
 	return records, nil
 }
 
-// reconcileLoop looks after attempts in doubt.
+// reconcileLoop queries unconfirmed attempts and stops unwanted ones.
 func (g *Group) reconcileLoop(ctx context.Context) {
 	every(ctx, g.cfg.Timing.Reconcile, func(ctx context.Context) {
-		for name, queries := range g.doubts() {
-			go g.ask(ctx, name, queries)
+		for name, queries := range g.unconfirmed() {
+			go g.queryAttempts(ctx, name, queries)
 		}
 		g.stopUnwanted(ctx)
 	})
 }
 
-// doubts lists the attempts whose keeper has not confirmed them in its present
-// epoch, by the keeper's group.
-func (g *Group) doubts() map[string][]books.Query {
+// unconfirmed returns queries for the attempts that their worker's group has not
+// confirmed in its current epoch, by that group. It skips attempts that started
+// less than unconfirmedAfterMs ago.
+func (g *Group) unconfirmed() map[string][]books.Query {
 	epochs := map[string]uint64{}
 	for _, d := range g.cfg.Remote.Duties() {
 		epochs[d.Group] = d.Epoch
@@ -127,18 +128,18 @@
 	byGroup := map[string][]books.Query{}
 	g.eachPlaced(func(ref jobs.Ref, t jobs.Task) {
 		at := books.Attempt{Task: ref.String(), Number: t.Attempt}
-		confirmed, ok := g.known[at]
-		if ok && confirmed == epochs[t.Group] || g.nowMs()-t.StartMs < doubtAfterMs {
+		epoch, ok := g.confirmed[at]
+		if ok && epoch == epochs[t.Group] || g.nowMs()-t.StartMs < unconfirmedAfterMs {
 			return
 		}
-		if len(byGroup[t.Group]) < maxWhereBatch {
+		if len(byGroup[t.Group]) < maxQueryBatch {
 			byGroup[t.Group] = append(byGroup[t.Group], books.Query{Attempt: at, Worker: t.Worker, Boot: t.Boot})
 		}
 	})
 	return byGroup
 }
 
-// eachPlaced calls fn for every task that is placed. The caller holds the lock.
+// eachPlaced calls fn for every placed task. The caller holds the lock.
 func (g *Group) eachPlaced(fn func(jobs.Ref, jobs.Task)) {
 	for id, j := range g.state.Jobs {
 		if j.EndMs > 0 {
@@ -152,9 +153,10 @@
 	}
 }
 
-// ask asks a keeper about attempts in doubt and takes its answers.
-func (g *Group) ask(ctx context.Context, name string, queries []books.Query) {
-	ctx, cancel := context.WithTimeout(ctx, whereTimeout)
+// queryAttempts queries a worker's group about unconfirmed attempts and applies
+// the answers.
+func (g *Group) queryAttempts(ctx context.Context, name string, queries []books.Query) {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	msg := wire.WhereMsg{Group: name, Queries: queries}
 	a, err := g.cfg.Remote.Where(ctx, msg)
@@ -162,11 +164,12 @@
 		return
 	}
 	for i, q := range queries {
-		g.learn(q.Attempt, a.Epoch, a.Places[i], a.Reports[i])
+		g.applyAnswer(q.Attempt, a.Epoch, a.Places[i], a.Reports[i])
 	}
 }
 
-func (g *Group) learn(at books.Attempt, epoch uint64, place books.Place, r books.Report) {
+// applyAnswer applies the answer to the query of one attempt.
+func (g *Group) applyAnswer(at books.Attempt, epoch uint64, place books.Place, r books.Report) {
 	ref, err := jobs.ParseRef(at.Task)
 	if err != nil {
 		return
@@ -174,7 +177,7 @@
 	switch place {
 	case books.There:
 		g.mu.Lock()
-		g.known[at] = epoch
+		g.confirmed[at] = epoch
 		g.mu.Unlock()
 	case books.Ended:
 		g.proposeEnd(ref, at.Number, r)
@@ -183,22 +186,23 @@
 	}
 }
 
-// stopUnwanted asks for the end of attempts that should not run: those of
-// cancelled jobs, those of gangs that have lost a task, those above a limit that
-// was lowered, and those of teams above their share while others starve.
+// stopUnwanted sends stop requests for attempts that should no longer run: those
+// of cancelled jobs, of gangs that have lost a task, above a lowered limit, and
+// of teams above their fair share while another team is below its own.
 func (g *Group) stopUnwanted(ctx context.Context) {
 	for _, msg := range g.unwanted() {
 		go func() {
-			ctx, cancel := context.WithTimeout(ctx, whereTimeout)
+			ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 			defer cancel()
 			_ = g.cfg.Remote.Stop(ctx, msg)
 		}()
 	}
 }
 
-// maxStops bounds the stop requests of one look.
+// maxStops bounds the stop requests of one round of the loop.
 const maxStops = 500
 
+// unwanted returns the stop requests for attempts that should no longer run.
 func (g *Group) unwanted() []wire.StopMsg {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -209,7 +213,7 @@
 	var list []wire.StopMsg
 	g.eachPlaced(func(ref jobs.Ref, t jobs.Task) {
 		j := g.state.Jobs[ref.Job]
-		broken := j.Spec.Kind == jobs.Gang && waiting(j) > 0
+		broken := j.Spec.Kind == jobs.Gang && waitingTasks(j) > 0
 		if len(list) >= maxStops || !t.Cancelling && !broken && !over[ref] {
 			return
 		}
--- a/internal/node/owner/house.go
+++ b/internal/node/owner/house.go
@@ -10,32 +10,34 @@
 	"lagooncourse/internal/plat/worker"
 )
 
-// This file keeps the group's stream and memory bounded.
+// This file bounds the size of the group's stream and state: it appends
+// snapshots and deletes expired jobs and calls.
 
 const (
-	houseEvery  = time.Second
-	forgetEvery = time.Minute
+	maintenanceInterval = time.Second
+	purgeInterval       = time.Minute
 )
 
-// housekeepLoop appends snapshots well before retention drops what they stand
-// for, and forgets what ended long ago.
-func (g *Group) housekeepLoop(ctx context.Context) {
-	every(ctx, houseEvery, func(ctx context.Context) {
+// maintenanceLoop appends snapshots well before the log's retention drops the
+// records that they replace, deletes expired jobs and calls, and updates the
+// quarantine of workers.
+func (g *Group) maintenanceLoop(ctx context.Context) {
+	every(ctx, maintenanceInterval, func(ctx context.Context) {
 		g.snapshot(ctx)
-		g.forgetOld()
+		g.purgeExpired()
 		g.mu.Lock()
-		g.reopen()
+		g.refreshModes()
 		g.mu.Unlock()
 	})
 }
 
-// snapshot appends a snapshot if one is due. A failed append is tried again at
-// the next look.
+// snapshot appends a snapshot if one is due. A failed append is retried in the
+// next round of the loop.
 func (g *Group) snapshot(ctx context.Context) {
 	g.mu.Lock()
 	records, _ := g.replay.SinceSnapshot()
 	due := records >= g.cfg.Timing.SnapshotAt ||
-		records > 0 && g.cfg.Clock.Now().Sub(g.snapAt) >= g.cfg.Timing.Snapshot
+		records > 0 && g.cfg.Clock.Now().Sub(g.lastSnapshot) >= g.cfg.Timing.Snapshot
 	if !due || g.epoch == 0 || g.logDown {
 		g.mu.Unlock()
 		return
@@ -43,48 +45,49 @@
 	data, err := g.replay.EncodeSnapshot()
 	g.mu.Unlock()
 	if err != nil {
-		g.log.Error(err, "snapshot not encoded")
+		g.log.Error(err, "encoding the snapshot failed")
 		return
 	}
 	if _, err := g.cfg.Log.Append(ctx, g.replay.Stream, data); err != nil {
-		g.log.V(1).Info("snapshot not appended", "err", err.Error())
+		g.log.V(1).Info("appending the snapshot failed", "err", err.Error())
 		return
 	}
-	// Reading the snapshot back restarts the count of records since the newest
-	// one; an idle group would otherwise append another at every interval.
+	// Reading the snapshot back resets the number of records since the newest
+	// snapshot. Otherwise an idle group would append one at every interval.
 	if err := g.catchUp(ctx, g.replay); err != nil {
 		return
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.snapAt = g.cfg.Clock.Now()
+	g.lastSnapshot = g.cfg.Clock.Now()
 }
 
-// SinceSnapshot returns the records and their bytes since the group's newest
-// snapshot.
+// SinceSnapshot returns the number and the total bytes of the records since the
+// group's newest snapshot.
 func (g *Group) SinceSnapshot() (records, bytes int64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.replay.SinceSnapshot()
 }
 
-func (g *Group) forgetOld() {
+// purgeExpired deletes the jobs and calls whose retention has ended.
+func (g *Group) purgeExpired() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.cfg.Clock.Now()
-	if g.epoch == 0 || now.Sub(g.forgetAt) < forgetEvery {
+	if g.epoch == 0 || now.Sub(g.lastPurge) < purgeInterval {
 		return
 	}
-	g.forgetAt = now
+	g.lastPurge = now
 	before := now.Add(-g.cfg.Timing.Keep).UnixMilli()
 	_ = g.propose(proposal{records: []group.Record{{Forget: &group.Forget{BeforeMs: before}}}})
 }
 
-func workerAttempt(at books.Attempt) worker.Attempt {
+func toWorkerAttempt(at books.Attempt) worker.Attempt {
 	return worker.Attempt{Task: at.Task, Number: at.Number}
 }
 
-// Dump is the state of a group on this host, for operators.
+// Dump describes the state of a group on this host, for operators.
 type Dump struct {
 	Group    string               `json:"group"`
 	Az       string               `json:"az"`
@@ -103,7 +106,7 @@
 	Stats    Stats                `json:"stats"`
 }
 
-// WorkerDump is the state of one worker as its group sees it.
+// WorkerDump describes one worker according to its group's state.
 type WorkerDump struct {
 	ID       string `json:"id"`
 	Ready    bool   `json:"ready"`
@@ -125,7 +128,7 @@
 		return d
 	}
 	d.Seq, d.Offset, d.Jobs = g.state.Seq, g.replay.Next()-1, len(g.state.Jobs)
-	d.Queued, d.Placing = g.queue.Len()+len(g.held), len(g.placing)
+	d.Queued, d.Placing = g.queue.Len()+len(g.delayed), len(g.placing)
 	d.Capacity = g.books.Capacity()
 	d.Free, _ = g.books.Free()
 	for team, used := range g.state.Used {
@@ -133,8 +136,8 @@
 	}
 	for _, id := range g.books.Workers() {
 		wd := WorkerDump{ID: id, Ready: g.books.Ready(id), Tasks: len(g.books.Running(id)), Trust: g.trust.State(id, g.nowMs()).String()}
-		if k := g.keepers[id]; k != nil {
-			wd.Lost, wd.Failures = k.lost, k.failures
+		if lr := g.renewers[id]; lr != nil {
+			wd.Lost, wd.Failures = lr.lost, lr.failures
 		}
 		d.Workers = append(d.Workers, wd)
 	}
--- a/internal/node/owner/keep.go
+++ b/internal/node/owner/keep.go
@@ -14,38 +14,38 @@
 	"lagooncourse/internal/plat/worker"
 )
 
-// This file keeps the group's workers: it renews their leases and reconciles
-// the books with their inventories.
+// This file renews the leases of the group's workers and reconciles the
+// capacity accounts with the workers' inventories.
 //
-// A renewal waits at the worker until something has changed there, so the end
-// of a task is known at once without polling. A worker that does not answer is
-// first probed without a new lease. Once the last lease that it can have
-// received has surely run out, everything on it is reported as lost.
+// A renewal is a long poll: it waits at the worker until the inventory changes,
+// so the group learns of the end of a task at once. If renewals fail, they
+// continue without extending the lease. After the last lease that the worker can
+// have received has expired, all attempts on it are reported as lost.
 
 const (
-	probeEvery   = 500 * time.Millisecond
-	probesToLose = 2 // failed renewals before the lease is no longer extended
+	renewRetryInterval = 500 * time.Millisecond
+	maxFailedRenewals  = 2 // failed renewals after which the lease is no longer extended
 )
 
-// keeper renews one worker.
-type keeper struct {
+// leaseRenewer renews the lease of one worker.
+type leaseRenewer struct {
 	host   hosts.Worker
-	w      worker.Worker
+	client worker.Worker
 	cancel context.CancelFunc
 	ctx    context.Context
 
 	// Guarded by the group's lock.
-	version   uint64
-	boot      int64        // of the worker at that version
-	seen      []books.Seen // the inventory at that version
-	failures  int
-	leaseEnds time.Time // by then the worker's newest lease has run out for sure
-	lost      bool
-	running   bool // the loop has been started
+	version     uint64       // version of the newest inventory
+	boot        int64        // boot number of the worker at that version
+	seen        []books.Seen // inventory at that version
+	failures    int          // consecutive failed renewals
+	leaseExpiry time.Time    // latest time at which the worker's newest lease expires
+	lost        bool
+	started     bool // the loop has been started
 }
 
-// syncWorkers brings books and keepers in line with the host list. The caller
-// holds the lock.
+// syncWorkers updates the capacity accounts and the lease renewers from the host
+// list. The caller holds the lock.
 func (g *Group) syncWorkers() {
 	list := make([]books.Worker, 0, len(g.workers))
 	for _, h := range g.workers {
@@ -56,146 +56,148 @@
 	}
 	g.books.SetWorkers(list)
 	for _, h := range g.workers {
-		k := g.keepers[h.ID]
-		if k != nil && k.host.URL == h.URL {
+		lr := g.renewers[h.ID]
+		if lr != nil && lr.host.URL == h.URL {
 			continue
 		}
-		if k != nil && k.cancel != nil {
-			k.cancel()
+		if lr != nil && lr.cancel != nil {
+			lr.cancel()
 		}
-		// A predecessor may have extended the lease just before it stopped.
-		ends := g.ownedAt.Add(g.cfg.Timing.Lease + g.cfg.Timing.Renew + g.cfg.Timing.Margin)
-		g.keepers[h.ID] = &keeper{host: h, w: g.cfg.Dial(h), leaseEnds: ends}
+		// The previous owner may have extended the lease just before it stopped.
+		expiry := g.ownedAt.Add(g.cfg.Timing.Lease + g.cfg.Timing.Renew + g.cfg.Timing.Margin)
+		g.renewers[h.ID] = &leaseRenewer{host: h, client: g.cfg.Dial(h), leaseExpiry: expiry}
 	}
 }
 
-// startKeepers starts the loop of every keeper that has none, now and whenever
-// the host list brings a new worker.
-func (g *Group) startKeepers(ctx context.Context) {
-	g.runNewKeepers(ctx)
-	go every(ctx, probeEvery, g.runNewKeepers)
+// startRenewers starts the loops of all lease renewers, and from then on those of
+// workers that are added to the host list.
+func (g *Group) startRenewers(ctx context.Context) {
+	g.startNewRenewers(ctx)
+	go every(ctx, renewRetryInterval, g.startNewRenewers)
 }
 
-func (g *Group) runNewKeepers(ctx context.Context) {
+// startNewRenewers starts the loop of every lease renewer without one.
+func (g *Group) startNewRenewers(ctx context.Context) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.epoch == 0 {
 		return
 	}
-	for _, k := range g.keepers {
-		if k.running {
+	for _, lr := range g.renewers {
+		if lr.started {
 			continue
 		}
-		k.running = true
-		k.ctx, k.cancel = context.WithCancel(ctx)
-		go g.keep(k, g.epoch)
+		lr.started = true
+		lr.ctx, lr.cancel = context.WithCancel(ctx)
+		go g.renewLoop(lr, g.epoch)
 	}
 }
 
-func (g *Group) stopKeepers() {
+// stopRenewers stops the loops of all lease renewers.
+func (g *Group) stopRenewers() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for _, k := range g.keepers {
-		if k.cancel != nil {
-			k.cancel()
+	for _, lr := range g.renewers {
+		if lr.cancel != nil {
+			lr.cancel()
 		}
 	}
 }
 
-// keep renews one worker until the group is given up.
-func (g *Group) keep(k *keeper, epoch uint64) {
-	for k.ctx.Err() == nil {
-		req, r, ok := g.renewal(k, epoch)
+// renewLoop renews the lease of one worker until the group is released.
+func (g *Group) renewLoop(lr *leaseRenewer, epoch uint64) {
+	for lr.ctx.Err() == nil {
+		req, r, ok := g.nextRenewal(lr, epoch)
 		if !ok {
 			return
 		}
-		inv, err := k.w.Renew(k.ctx, req)
-		if k.ctx.Err() != nil {
+		inv, err := lr.client.Renew(lr.ctx, req)
+		if lr.ctx.Err() != nil {
 			return
 		}
 		if err == nil {
-			g.renewed(k, epoch, r, inv)
+			g.renewSucceeded(lr, epoch, r, inv)
 			continue
 		}
-		stop, overdue := g.notRenewed(k, epoch, err)
+		stop, expired := g.renewFailed(lr, epoch, err)
 		if stop {
 			return
 		}
-		if overdue {
-			g.loseWorker(k, epoch, err)
+		if expired {
+			g.markWorkerLost(lr, epoch, err)
 		}
 		select {
-		case <-time.After(probeEvery):
-		case <-k.ctx.Done():
+		case <-time.After(renewRetryInterval):
+		case <-lr.ctx.Done():
 		}
 	}
 }
 
-// renewal makes the next request for a worker. While the worker does not
-// answer, the request extends no lease, so that the time after which all of
-// its tasks have stopped stays where it is.
-func (g *Group) renewal(k *keeper, epoch uint64) (req worker.RenewRequest, r books.Renewal, ok bool) {
+// nextRenewal returns the next renewal request for a worker. After repeated
+// failures the request no longer extends the lease, so the time by which all of
+// the worker's tasks have stopped stays fixed.
+func (g *Group) nextRenewal(lr *leaseRenewer, epoch uint64) (req worker.RenewRequest, r books.Renewal, ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.epoch != epoch {
 		return req, r, false
 	}
-	r = g.books.Renewal(k.host.ID)
+	r = g.books.Renewal(lr.host.ID)
 	req = worker.RenewRequest{
 		Token:  worker.Token{Epoch: epoch, Seq: r.Floor},
-		Since:  k.version,
+		Since:  lr.version,
 		WaitMs: g.cfg.Timing.Renew.Milliseconds(),
 	}
 	for _, at := range r.Forget {
-		req.Forget = append(req.Forget, workerAttempt(at))
+		req.Forget = append(req.Forget, toWorkerAttempt(at))
 	}
-	if k.failures > 0 || !g.books.Ready(k.host.ID) {
+	if lr.failures > 0 || !g.books.Ready(lr.host.ID) {
 		req.WaitMs, req.Since = 0, 0
 	}
-	if k.failures < probesToLose {
+	if lr.failures < maxFailedRenewals {
 		req.TTLMs = g.cfg.Timing.Lease.Milliseconds()
 		timing := g.cfg.Timing
-		ends := g.cfg.Clock.Now().Add(renewTimeout + timing.Renew + timing.Lease + timing.Margin)
-		if ends.After(k.leaseEnds) {
-			k.leaseEnds = ends
+		expiry := g.cfg.Clock.Now().Add(renewTimeout + timing.Renew + timing.Lease + timing.Margin)
+		if expiry.After(lr.leaseExpiry) {
+			lr.leaseExpiry = expiry
 		}
 	}
 	return req, r, true
 }
 
-// renewTimeout is the worker client's bound for a request, beyond its wait. A
-// request that is older has no effect at the worker.
+// renewTimeout is the worker client's timeout for a renewal, in addition to its
+// WaitMs. A renewal has no effect at the worker after that time.
 const renewTimeout = time.Second
 
-// renewed takes a worker's answer.
-func (g *Group) renewed(k *keeper, epoch uint64, r books.Renewal, inv worker.Inventory) {
+// renewSucceeded applies a worker's answer to a renewal.
+func (g *Group) renewSucceeded(lr *leaseRenewer, epoch uint64, r books.Renewal, inv worker.Inventory) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.epoch != epoch {
 		return
 	}
-	if k.lost {
-		g.log.Info("worker answers again", "worker", k.host.ID)
+	if lr.lost {
+		g.log.Info("worker answers again", "worker", lr.host.ID)
 	}
-	if inv.Same && inv.Boot != k.boot {
-		k.version = 0 // a restarted worker happens to count the same; ask for all
+	if inv.Same && inv.Boot != lr.boot {
+		lr.version = 0 // the restarted worker reached the same version by chance; request the full inventory
 		return
 	}
-	k.failures, k.lost, k.version, k.boot = 0, false, inv.Version, inv.Boot
-	k.seen = seenBy(inv, k.seen, r.Forget)
-	news := g.books.Inventory(k.host.ID, books.Inventory{Renewal: r, Boot: inv.Boot, Seen: k.seen})
-	g.judge(news)
-	if len(news) > 0 {
-		go g.sendReports(k.ctx)
+	lr.failures, lr.lost, lr.version, lr.boot = 0, false, inv.Version, inv.Boot
+	lr.seen = seenAttempts(inv, lr.seen, r.Forget)
+	ends := g.books.Inventory(lr.host.ID, books.Inventory{Renewal: r, Boot: inv.Boot, Seen: lr.seen})
+	g.updateTrust(ends)
+	if len(ends) > 0 {
+		go g.sendReports(lr.ctx)
 	}
-	g.poke()
+	g.wakeLoop()
 }
 
-// judge notes how attempts ended and brings the workers' modes in line. The
-// caller holds the lock.
-func (g *Group) judge(news []books.Report) {
+// updateTrust records how attempts ended and updates the modes of their workers.
+// The caller holds the lock.
+func (g *Group) updateTrust(ends []books.Report) {
 	now := g.nowMs()
-	for _, r := range news {
+	for _, r := range ends {
 		if r.How != jobs.EndOK && r.How != jobs.EndFailed {
 			continue
 		}
@@ -207,6 +209,7 @@
 	}
 }
 
+// modeOf returns the mode of a worker in trust state s.
 func modeOf(s trust.State) books.Mode {
 	switch s {
 	case trust.Quarantined:
@@ -217,19 +220,20 @@
 	return books.Open
 }
 
-// reopen lets the workers be probed whose quarantine is over. The caller holds
-// the lock.
-func (g *Group) reopen() {
+// refreshModes updates the modes of all distrusted workers, so that one whose
+// quarantine is over can be probed. The caller holds the lock.
+func (g *Group) refreshModes() {
 	for _, id := range g.trust.Distrusted() {
 		g.books.SetMode(id, modeOf(g.trust.State(id, g.nowMs())))
 	}
 }
 
-// seenBy translates a worker's inventory for the books. An inventory that is
-// the same as the last one is the last one, less what the worker has forgotten.
-func seenBy(inv worker.Inventory, last []books.Seen, forgot []books.Attempt) []books.Seen {
+// seenAttempts converts a worker's inventory for the capacity accounts. An
+// inventory marked Same equals the last one without the attempts that the
+// renewal told the worker to delete.
+func seenAttempts(inv worker.Inventory, last []books.Seen, deleted []books.Attempt) []books.Seen {
 	if inv.Same {
-		return slices.DeleteFunc(slices.Clone(last), func(s books.Seen) bool { return slices.Contains(forgot, s.Attempt) })
+		return slices.DeleteFunc(slices.Clone(last), func(s books.Seen) bool { return slices.Contains(deleted, s.Attempt) })
 	}
 	var list []books.Seen
 	for _, r := range inv.Running {
@@ -241,14 +245,14 @@
 	for _, f := range inv.Finished {
 		list = append(list, books.Seen{
 			Attempt: books.Attempt{Task: f.Attempt.Task, Number: f.Attempt.Number}, Home: f.Home,
-			How: howOf(f.End), Result: f.Result, Checkpoint: f.Checkpoint,
+			How: endHow(f.End), Result: f.Result, Checkpoint: f.Checkpoint,
 		})
 	}
 	return list
 }
 
-// howOf translates the end that a worker reports.
-func howOf(e worker.End) jobs.How {
+// endHow converts the end that a worker reports.
+func endHow(e worker.End) jobs.How {
 	switch e {
 	case worker.EndOK:
 		return jobs.EndOK
@@ -260,35 +264,35 @@
 	return jobs.EndStopped
 }
 
-// notRenewed takes a failed renewal. It reports whether the keeper must stop,
-// because the group has another owner, and whether every lease that this owner
-// has given the worker has run out.
-func (g *Group) notRenewed(k *keeper, epoch uint64, err error) (stop, overdue bool) {
+// renewFailed handles a failed renewal. It reports whether the loop must stop
+// because this host no longer owns the group, and whether every lease that the
+// worker can have received has expired.
+func (g *Group) renewFailed(lr *leaseRenewer, epoch uint64, err error) (stop, expired bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.epoch != epoch {
 		return true, false
 	}
 	if fault.Is(err, fault.Conflict) {
-		// Only the log decides who owns the group. The next append or read
-		// will show the claim behind the later epoch.
-		g.checkOwner()
+		// The worker has seen a later epoch, but only the log determines the
+		// owner. The next append or read shows a claim, if there is one.
+		g.proposeEmptyBatch()
 		return false, false
 	}
-	k.failures++
-	if k.failures >= probesToLose {
-		g.books.Unready(k.host.ID)
+	lr.failures++
+	if lr.failures >= maxFailedRenewals {
+		g.books.Unready(lr.host.ID)
 	}
-	return false, !k.lost && !g.cfg.Clock.Now().Before(k.leaseEnds)
+	return false, !lr.lost && !g.cfg.Clock.Now().Before(lr.leaseExpiry)
 }
 
-// loseWorker reports everything on an overdue worker as lost, if this host
-// still owns the group. A host that was paused has heard nothing from its
-// workers either, but their new keeper may have renewed them. The log is asked
-// after the leases have run out: whoever claims the group later finds that
-// the worker has stopped its tasks.
-func (g *Group) loseWorker(k *keeper, epoch uint64, err error) {
-	if g.confirmOwner(k.ctx) != nil {
+// markWorkerLost reports all attempts on a worker with an expired lease as lost,
+// if this host still owns the group. After a pause of this host, its renewals
+// have failed too, but a new owner may have renewed the worker's lease. Ownership
+// is confirmed after the lease has expired, so that a host that claims the group
+// later finds the worker's tasks stopped.
+func (g *Group) markWorkerLost(lr *leaseRenewer, epoch uint64, err error) {
+	if g.confirmOwner(lr.ctx) != nil {
 		return
 	}
 	g.mu.Lock()
@@ -296,17 +300,17 @@
 	if g.epoch != epoch {
 		return
 	}
-	k.lost = true
-	news := g.books.LoseWorker(k.host.ID)
-	g.log.Info("worker is lost", "worker", k.host.ID, "tasks", len(news), "err", err.Error())
-	if len(news) > 0 {
-		go g.sendReports(k.ctx)
+	lr.lost = true
+	ends := g.books.LoseWorker(lr.host.ID)
+	g.log.Info("worker is lost", "worker", lr.host.ID, "tasks", len(ends), "err", err.Error())
+	if len(ends) > 0 {
+		go g.sendReports(lr.ctx)
 	}
 }
 
-// checkOwner proposes an empty batch, whose fate shows whether the epoch still
-// stands. The caller holds the lock.
-func (g *Group) checkOwner() {
+// proposeEmptyBatch proposes a batch without records, whose outcome shows whether
+// this host still owns the group. The caller holds the lock.
+func (g *Group) proposeEmptyBatch() {
 	if len(g.pending) == 0 {
 		_ = g.propose(proposal{})
 	}
--- a/internal/node/owner/limit.go
+++ b/internal/node/owner/limit.go
@@ -9,52 +9,53 @@
 	"lagooncourse/internal/cell/jobs"
 )
 
-// This file moves the group's parts of the teams' limits. A part is taken from
-// the pool when waiting work needs it and given back when it lies idle. It is
-// given back early when another group waits for it.
+// This file manages the group's grants, its parts of the teams' limits. A grant
+// is increased from the team's unassigned pool when waiting work needs it, and
+// decreased when it is idle, earlier if another group requests a grant.
 
 const (
-	grantEvery   = 50 * time.Millisecond
-	grantTimeout = 3 * time.Second
-	idleGrant    = 2 * time.Second        // unused for so long, a part goes back
-	wantedGrant  = 200 * time.Millisecond // the same while another group waits for it
-	wantExpires  = time.Second            // a want that is not renewed is over
+	grantInterval        = 50 * time.Millisecond
+	grantTimeout         = 3 * time.Second
+	idleGrantTimeout     = 2 * time.Second        // idle time after which a grant is decreased
+	contestedIdleTimeout = 200 * time.Millisecond // the same while another group requests a grant
+	grantRequestTTL      = time.Second            // lifetime of a grant request that is not repeated
 )
 
-// grants is what the group knows about its parts of the limits.
-type grants struct {
-	seq   uint64
-	wants map[string]want
-	idle  map[string]time.Time // team -> since when its part is larger than needed
-	// lowering holds the parts that are being given back. They bind before
-	// the record that gives the rest away has been appended.
-	lowering map[string]jobs.Size
+// grantState is the state of the group's grants beyond the configuration.
+type grantState struct {
+	seq       uint64 // of the newest grant record in this epoch
+	requests  map[string]grantRequest
+	idleSince map[string]time.Time // team -> time since which its grant is larger than needed
+	// reduced holds the grants that are being decreased. They apply before the
+	// record of the decrease is appended.
+	reduced map[string]jobs.Size
 }
 
-// want is the room that waiting work needs under a limit.
-type want struct {
+// grantRequest is the additional size that waiting work needs under a limit.
+type grantRequest struct {
 	size jobs.Size
 	at   time.Time
 }
 
-func newGrants() grants {
-	return grants{wants: map[string]want{}, idle: map[string]time.Time{}, lowering: map[string]jobs.Size{}}
+// newGrantState returns a state without requests.
+func newGrantState() grantState {
+	return grantState{requests: map[string]grantRequest{}, idleSince: map[string]time.Time{}, reduced: map[string]jobs.Size{}}
 }
 
-// want notes that a team needs room for size beyond what it uses.
-func (gr *grants) want(team string, size jobs.Size, now time.Time) {
-	w := gr.wants[team]
-	if now.Sub(w.at) > wantExpires {
-		w.size = jobs.Size{}
+// request records that a team needs size in addition to its use.
+func (gr *grantState) request(team string, size jobs.Size, now time.Time) {
+	req := gr.requests[team]
+	if now.Sub(req.at) > grantRequestTTL {
+		req.size = jobs.Size{}
 	}
-	gr.wants[team] = want{size: w.size.Most(size), at: now}
+	gr.requests[team] = grantRequest{size: req.size.Most(size), at: now}
 }
 
-// wanting lists the teams that wait for a larger part.
-func (gr *grants) wanting(now time.Time) []string {
+// requesting returns the teams that have a current request for a larger grant.
+func (gr *grantState) requesting(now time.Time) []string {
 	var teams []string
-	for team, w := range gr.wants {
-		if now.Sub(w.at) <= wantExpires {
+	for team, req := range gr.requests {
+		if now.Sub(req.at) <= grantRequestTTL {
 			teams = append(teams, team)
 		}
 	}
@@ -62,29 +63,30 @@
 	return teams
 }
 
-// ceiling returns how much of the team's work the group may have placed now.
-// The caller holds the lock.
+// ceiling returns the total size of the team's tasks that the group may place
+// now. The caller holds the lock.
 func (g *Group) ceiling(team string, cell *config.State) jobs.Size {
 	c := cell.Ceiling(team, g.cfg.Name)
-	if low, ok := g.grants.lowering[team]; ok {
-		c = c.Least(low)
+	if lowered, ok := g.grants.reduced[team]; ok {
+		c = c.Least(lowered)
 	}
 	return c
 }
 
+// grantLoop adjusts the group's grants.
 func (g *Group) grantLoop(ctx context.Context) {
-	every(ctx, grantEvery, func(ctx context.Context) {
+	every(ctx, grantInterval, func(ctx context.Context) {
 		change := g.nextGrants()
 		if len(change.Items) == 0 {
 			return
 		}
-		g.change(ctx, change)
+		g.applyGrants(ctx, change)
 	})
 }
 
-// change appends the change and waits until it has been applied or is void. It
-// is repeated with the same fence as long as neither is known.
-func (g *Group) change(ctx context.Context, change config.Grants) {
+// applyGrants appends the change and waits until it has been applied or is void.
+// It retries with the same fencing token while the outcome is unknown.
+func (g *Group) applyGrants(ctx context.Context, change config.Grants) {
 	for ctx.Err() == nil {
 		rctx, cancel := context.WithTimeout(ctx, grantTimeout)
 		err := g.cfg.Cell.Change(rctx, change)
@@ -93,19 +95,19 @@
 			break
 		}
 		select {
-		case <-time.After(grantEvery):
+		case <-time.After(grantInterval):
 		case <-ctx.Done():
 		}
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	clear(g.grants.lowering)
-	g.poke()
+	clear(g.grants.reduced)
+	g.wakeLoop()
 }
 
-// nextGrants decides which parts to raise and which to give back.
+// nextGrants returns the grants to increase and to decrease now.
 func (g *Group) nextGrants() config.Grants {
-	others := g.wantedElsewhere()
+	others := g.requestedElsewhere()
 	cell := g.cfg.Cell.State()
 	now := g.cfg.Clock.Now()
 	g.mu.Lock()
@@ -126,8 +128,8 @@
 	return change
 }
 
-// wantedElsewhere returns the teams for which another group waits.
-func (g *Group) wantedElsewhere() map[string]bool {
+// requestedElsewhere returns the teams for which another group requests a grant.
+func (g *Group) requestedElsewhere() map[string]bool {
 	teams := map[string]bool{}
 	for _, d := range g.cfg.Remote.Duties() {
 		if d.Group == g.cfg.Name {
@@ -140,10 +142,11 @@
 	return teams
 }
 
-// grantTeams lists the teams that hold or want a part. The caller holds the lock.
+// grantTeams returns the teams with a grant or a request for one. The caller
+// holds the lock.
 func (g *Group) grantTeams(cell *config.State) []string {
 	set := map[string]bool{}
-	for team := range g.grants.wants {
+	for team := range g.grants.requests {
 		set[team] = true
 	}
 	for team, byGroup := range cell.Grants {
@@ -159,66 +162,67 @@
 	return teams
 }
 
-// nextGrant returns the change for one team, if any. The caller holds the lock.
-func (g *Group) nextGrant(team string, cell *config.State, wanted bool, now time.Time) (config.Grant, bool) {
-	held := cell.Grants[team][g.cfg.Name]
+// nextGrant returns the change of one team's grant, if any. The caller holds the
+// lock.
+func (g *Group) nextGrant(team string, cell *config.State, contested bool, now time.Time) (config.Grant, bool) {
+	current := cell.Grants[team][g.cfg.Name]
 	used := g.state.Used[team].Plus(g.reserved[team])
-	if w, ok := g.grants.wants[team]; ok {
-		if now.Sub(w.at) > wantExpires {
-			delete(g.grants.wants, team)
-		} else if amount, ok := raise(held, used, w.size, g.queue.Demand()[team], cell.Pool(team)); ok {
-			delete(g.grants.wants, team)
+	if req, ok := g.grants.requests[team]; ok {
+		if now.Sub(req.at) > grantRequestTTL {
+			delete(g.grants.requests, team)
+		} else if amount, ok := increasedGrant(current, used, req.size, g.queue.Demand()[team], cell.Pool(team)); ok {
+			delete(g.grants.requests, team)
 			return config.Grant{Team: team, Amount: amount}, true
 		}
 	}
-	return g.giveBack(team, held, used, wanted, now)
+	return g.decreasedGrant(team, current, used, contested, now)
 }
 
-// raise returns the larger part that the next piece of waiting work needs, and
-// more if the pool has it, up to all that waits. It returns false if the pool
-// does not hold enough for the next piece.
-func raise(held, used, next, demand, pool jobs.Size) (jobs.Size, bool) {
-	most := held.Plus(pool)
+// increasedGrant returns a larger grant that covers the next waiting item and, as
+// far as poolDivisor allows, the rest of the demand. It returns false if the
+// grant suffices already or the pool is too small for the next item.
+func increasedGrant(current, used, next, demand, pool jobs.Size) (jobs.Size, bool) {
+	maximum := current.Plus(pool)
 	need := used.Plus(next)
-	if !need.Fits(most) || need.Fits(held) {
+	if !need.Fits(maximum) || need.Fits(current) {
 		return jobs.Size{}, false
 	}
-	generous := held.Plus(pool.Scaled(jobs.Size{CPU: 1, Mem: 1, Accel: 1}, jobs.Size{CPU: poolPart, Mem: poolPart, Accel: poolPart}))
-	return need.Most(used.Plus(demand).Least(generous)).Most(held).Least(most), true
+	extended := current.Plus(pool.Scaled(jobs.Size{CPU: 1, Mem: 1, Accel: 1}, jobs.Size{CPU: poolDivisor, Mem: poolDivisor, Accel: poolDivisor}))
+	return need.Most(used.Plus(demand).Least(extended)).Most(current).Least(maximum), true
 }
 
-// poolPart is the fraction of the pool, as one over poolPart, that a group may
-// take beyond its next piece of work.
-const poolPart = 4
+// poolDivisor bounds what a grant takes from the pool for more than the next
+// item: 1/poolDivisor of the pool.
+const poolDivisor = 4
 
-// giveBack returns the smaller part that is still needed, once more than that
-// has lain idle for a while. The caller holds the lock.
-func (g *Group) giveBack(team string, held, used jobs.Size, wanted bool, now time.Time) (config.Grant, bool) {
-	if held.Fits(used) {
-		delete(g.grants.idle, team)
+// decreasedGrant returns a grant reduced to the current use, once the excess has
+// been idle for long enough. The caller holds the lock.
+func (g *Group) decreasedGrant(team string, current, used jobs.Size, contested bool, now time.Time) (config.Grant, bool) {
+	if current.Fits(used) {
+		delete(g.grants.idleSince, team)
 		return config.Grant{}, false
 	}
-	since, ok := g.grants.idle[team]
+	since, ok := g.grants.idleSince[team]
 	if !ok {
-		g.grants.idle[team] = now
+		g.grants.idleSince[team] = now
 		return config.Grant{}, false
 	}
-	wait := idleGrant
-	if wanted {
-		wait = wantedGrant
+	wait := idleGrantTimeout
+	if contested {
+		wait = contestedIdleTimeout
 	}
-	if now.Sub(since) < wait || !wanted && !g.queue.Demand()[team].IsZero() {
+	if now.Sub(since) < wait || !contested && !g.queue.Demand()[team].IsZero() {
 		return config.Grant{}, false
 	}
-	delete(g.grants.idle, team)
-	low := used.Least(held)
-	g.grants.lowering[team] = low
-	return config.Grant{Team: team, Amount: low}, true
+	delete(g.grants.idleSince, team)
+	lowered := used.Least(current)
+	g.grants.reduced[team] = lowered
+	return config.Grant{Team: team, Amount: lowered}, true
 }
 
-// overLimit lists the placed tasks that have to stop because their team's part
-// is smaller than what runs: batch before gangs before services before urgent
-// work, and the youngest first. The caller holds the lock.
+// overLimit returns the placed tasks to stop because their team's use exceeds its
+// grant. Batch tasks stop first, then gangs, services and urgent tasks, the most
+// recently started first. The caller holds the lock.
 func (g *Group) overLimit() map[jobs.Ref]bool {
 	cell := g.cfg.Cell.State()
 	over := map[jobs.Ref]bool{}
@@ -238,18 +242,18 @@
 	return over
 }
 
-// stopOrder lists a team's placed tasks, the first to stop first. The caller
-// holds the lock.
+// stopOrder returns a team's placed tasks in the order in which to stop them. The
+// caller holds the lock.
 func (g *Group) stopOrder(team string) []jobs.Ref {
-	type placed struct {
+	type candidate struct {
 		ref  jobs.Ref
 		rank int
 		at   int64
 	}
-	var list []placed
+	var list []candidate
 	g.eachPlaced(func(ref jobs.Ref, t jobs.Task) {
 		if spec := g.state.Jobs[ref.Job].Spec; spec.Team == team {
-			list = append(list, placed{ref: ref, rank: spec.Kind.Rank(), at: t.StartMs})
+			list = append(list, candidate{ref: ref, rank: spec.Kind.Rank(), at: t.StartMs})
 		}
 	})
 	sort.Slice(list, func(i, j int) bool {
--- a/internal/node/owner/owner_test.go
+++ b/internal/node/owner/owner_test.go
@@ -22,7 +22,7 @@
 	"lagooncourse/internal/plat/worker"
 )
 
-// memLog is one stream in memory.
+// memLog is an in-memory log with one stream.
 type memLog struct {
 	mu      sync.Mutex
 	records [][]byte
@@ -52,7 +52,7 @@
 func (c fixedCell) Fresh() error                                { return nil }
 func (c fixedCell) Change(context.Context, config.Grants) error { return nil }
 
-// noRemote reaches no other group.
+// noRemote has no other groups to reach.
 type noRemote struct{ Remote }
 
 func (noRemote) Report(context.Context, wire.ReportMsg) (wire.ReportAnswer, error) {
@@ -62,10 +62,10 @@
 func (noRemote) Duties() []wire.Duty                        { return nil }
 func (noRemote) MayClaim(string, uint64, group.Holder) bool { return true }
 
-// silentWorker has nothing to report.
-type silentWorker struct{ worker.Worker }
+// idleWorker is a worker with an empty inventory.
+type idleWorker struct{ worker.Worker }
 
-func (silentWorker) Renew(ctx context.Context, req worker.RenewRequest) (worker.Inventory, error) {
+func (idleWorker) Renew(ctx context.Context, req worker.RenewRequest) (worker.Inventory, error) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(time.Duration(req.WaitMs) * time.Millisecond):
@@ -73,13 +73,14 @@
 	return worker.Inventory{Boot: 7, Version: 1}, nil
 }
 
-// ownedGroup returns a group that this test owns, with one worker, and its log.
-func ownedGroup(t *testing.T) (*Group, *memLog) {
+// newOwnedGroup returns a running group that has been claimed, with one worker, and
+// its log.
+func newOwnedGroup(t *testing.T) (*Group, *memLog) {
 	t.Helper()
 	log := &memLog{}
 	g := New(Config{
 		Name: "a-0", Az: "a", Self: group.Holder{Host: "e1"}, Log: log, Cell: fixedCell{config.NewMachine()},
-		Remote: noRemote{}, Dial: func(hosts.Worker) worker.Worker { return silentWorker{} },
+		Remote: noRemote{}, Dial: func(hosts.Worker) worker.Worker { return idleWorker{} },
 		Clock: clock.System{}, Logger: logs.Discard(), Timing: DefaultTiming(),
 	})
 	g.SetWorkers([]hosts.Worker{{ID: "w1", Az: "a", CPU: 8000, State: hosts.Live}})
@@ -98,14 +99,14 @@
 	return g, log
 }
 
-// until polls a condition up to a bound.
+// until polls a condition for up to 10 s.
 func until(t *testing.T, ok func() bool) {
 	t.Helper()
-	polls.Until(t, 10*time.Second, "the awaited state", ok)
+	polls.Until(t, 10*time.Second, "the expected state", ok)
 }
 
-// claimedByOther appends another host's claim of the next epoch.
-func claimedByOther(t *testing.T, log *memLog) {
+// appendOtherClaim appends another host's claim of the next epoch.
+func appendOtherClaim(t *testing.T, log *memLog) {
 	t.Helper()
 	data, err := encodeBatch(group.Batch{Epoch: 2, Claim: &group.Holder{Host: "e2"}})
 	assert.NilError(t, err)
@@ -113,34 +114,34 @@
 	assert.NilError(t, err)
 }
 
-// TestAbsentOnlyFromOwner checks that a group says that an attempt is absent
-// only as long as the log shows it as the owner.
+// TestAbsentOnlyFromOwner checks that Where reports an attempt as absent only
+// while the log shows this host as the group's owner.
 func TestAbsentOnlyFromOwner(t *testing.T) {
-	g, log := ownedGroup(t)
+	g, log := newOwnedGroup(t)
 	msg := wire.WhereMsg{Group: "a-0", Queries: []books.Query{{Attempt: books.Attempt{Task: "b-0.1/0", Number: 1}, Worker: "w1", Boot: 7}}}
 	a, err := g.Where(context.Background(), msg)
 	assert.NilError(t, err)
 	assert.Equal(t, a.Places[0], books.Absent)
-	claimedByOther(t, log)
+	appendOtherClaim(t, log)
 	msg.Queries[0].Attempt.Number = 2
 	_, err = g.Where(context.Background(), msg)
 	assert.Assert(t, fault.Is(err, fault.NotOwner), "%v", err)
 }
 
-// TestLossOnlyByOwner checks that an overdue worker is reported as lost only as
-// long as the log shows the group as the owner.
+// TestLossOnlyByOwner checks that the attempts on a worker with an expired lease
+// are reported as lost only while the log shows this host as the group's owner.
 func TestLossOnlyByOwner(t *testing.T) {
 	for _, lost := range []bool{true, false} {
-		g, log := ownedGroup(t)
+		g, log := newOwnedGroup(t)
 		at := books.Attempt{Task: "b-0.1/0", Number: 1}
 		g.mu.Lock()
 		g.books.Inventory("w1", books.Inventory{Boot: 7, Seen: []books.Seen{{Attempt: at, Home: "b-0", Kind: jobs.Batch}}})
-		k := g.keepers["w1"]
+		lr := g.renewers["w1"]
 		g.mu.Unlock()
 		if !lost {
-			claimedByOther(t, log)
+			appendOtherClaim(t, log)
 		}
-		g.loseWorker(k, 1, fault.New(fault.Timeout, fault.Unknown, "no answer"))
+		g.markWorkerLost(lr, 1, fault.New(fault.Timeout, fault.Unknown, "no answer"))
 		g.mu.Lock()
 		reports := g.books.Reports()["b-0"]
 		g.mu.Unlock()
@@ -148,11 +149,11 @@
 	}
 }
 
-// TestWritesAfterLoss checks that a change that meets another owner's claim is
-// called not run, and is not part of the state.
+// TestWritesAfterLoss checks that a change appended after another host's claim
+// fails with NotRun and is not part of the state.
 func TestWritesAfterLoss(t *testing.T) {
-	g, log := ownedGroup(t)
-	claimedByOther(t, log)
+	g, log := newOwnedGroup(t)
+	appendOtherClaim(t, log)
 	spec := jobs.Spec{Name: "survey", Kind: jobs.Batch, Team: "lab", Submission: "s", Tasks: 1, Size: jobs.Size{CPU: 1}, RunMs: 1}
 	_, err := g.Submit(context.Background(), spec)
 	assert.Equal(t, fault.RanOf(err), fault.NotRun, "%v", err)
@@ -163,18 +164,19 @@
 	assert.Equal(t, len(replay.Machine.(*group.State).Jobs), 0)
 }
 
-// TestRecordedOnlyByOwner checks that a group calls the end of an attempt that
-// it does not know recorded only as long as the log shows it as the owner: the
-// attempt may be a later owner's, whose end would be forgotten unrecorded.
+// TestRecordedOnlyByOwner checks that Report confirms the end of an unknown
+// attempt as recorded only while the log shows this host as the group's owner. A
+// later owner may have started the attempt, and its end would be deleted without
+// a record.
 func TestRecordedOnlyByOwner(t *testing.T) {
-	g, log := ownedGroup(t)
+	g, log := newOwnedGroup(t)
 	msg := wire.ReportMsg{Group: "a-0", Reports: []books.Report{
 		{Attempt: books.Attempt{Task: "a-0.1/0", Number: 1}, Worker: "w1", How: jobs.EndOK},
 	}}
 	a, err := g.Report(context.Background(), msg)
 	assert.NilError(t, err)
 	assert.Equal(t, len(a.Recorded), 1)
-	claimedByOther(t, log)
+	appendOtherClaim(t, log)
 	a, err = g.Report(context.Background(), msg)
 	assert.Assert(t, fault.Is(err, fault.NotOwner), "%v", err)
 	assert.Equal(t, len(a.Recorded), 0)
--- a/internal/node/owner/place.go
+++ b/internal/node/owner/place.go
@@ -15,20 +15,20 @@
 	"lagooncourse/internal/node/wire"
 )
 
-// This file places the waiting jobs of the group: it reserves room, records
-// the intents and has the attempts started.
+// This file places the waiting jobs of the group: it reserves capacity, records
+// the start intents, and starts the attempts once these are durable.
 
 const (
-	maxPassItems  = 256 // items placed in one pass
-	maxPassRemote = 32  // items of one pass that are tried at other groups
-	retryBlocked  = 100 * time.Millisecond
-	retryUrgent   = 10 * time.Millisecond
-	maxReasons    = 8 // kept for each job
+	maxPassItems      = 256 // items placed in one pass
+	maxPassRemote     = 32  // items of one pass that are tried at other groups
+	blockedRetryDelay = 100 * time.Millisecond
+	urgentRetryDelay  = 10 * time.Millisecond
+	maxReasons        = 8 // per job
 )
 
-// plan is an item on its way to its workers.
+// plan is the placement of a queue item in progress.
 type plan struct {
-	epoch uint64 // in which it was made
+	epoch uint64 // epoch in which the plan was made
 	item  queue.Item
 	tasks []jobs.Ref
 	asks  []books.Ask
@@ -46,7 +46,7 @@
 		g.mu.Unlock()
 		return
 	}
-	g.requeueHeld()
+	g.requeueDue()
 	g.books.Lapse(g.nowMs())
 	remote := g.pass()
 	g.mu.Unlock()
@@ -55,45 +55,46 @@
 	}
 }
 
-// requeueHeld returns items to the queue whose time has come. The caller holds
-// the lock.
-func (g *Group) requeueHeld() {
+// requeueDue returns delayed items to the queue whose delay is over. The caller
+// holds the lock.
+func (g *Group) requeueDue() {
 	now := g.cfg.Clock.Now()
 	for ref, at := range g.retryAt {
 		if now.Before(at) {
 			continue
 		}
-		it := g.held[ref]
-		delete(g.held, ref)
+		it := g.delayed[ref]
+		delete(g.delayed, ref)
 		delete(g.retryAt, ref)
-		if g.stillWaits(it) {
+		if g.stillWaiting(it) {
 			g.queue.Add(it)
 		}
 	}
 }
 
-// hold keeps an item out of the queue for a moment. The caller holds the lock.
-func (g *Group) hold(it queue.Item, d time.Duration) {
-	g.held[it.Ref] = it
+// requeueAfter returns an item to the queue after a delay. The caller holds the
+// lock.
+func (g *Group) requeueAfter(it queue.Item, d time.Duration) {
+	g.delayed[it.Ref] = it
 	g.retryAt[it.Ref] = g.cfg.Clock.Now().Add(d)
 }
 
-// stillWaits reports whether every task of the item waits. The caller holds
-// the lock.
-func (g *Group) stillWaits(it queue.Item) bool {
+// stillWaiting reports whether the item's task is waiting, or its gang is ready.
+// The caller holds the lock.
+func (g *Group) stillWaiting(it queue.Item) bool {
 	j := g.state.Jobs[it.Ref.Job]
 	if j == nil {
 		return false
 	}
 	if it.Kind == jobs.Gang {
-		return gangWaits(j)
+		return gangReady(j)
 	}
 	return j.Tasks[it.Ref.Index].State == jobs.Waiting
 }
 
-// gangWaits reports whether a gang can start: some of its tasks wait, and all
-// others have ended.
-func gangWaits(j *jobs.Job) bool {
+// gangReady reports whether a gang can start: at least one of its tasks is
+// waiting, and all others have ended.
+func gangReady(j *jobs.Job) bool {
 	waiting := 0
 	for _, t := range j.Tasks {
 		switch {
@@ -106,8 +107,8 @@
 	return waiting > 0
 }
 
-// pass places what fits on the group's own workers and returns what has to be
-// tried elsewhere. The caller holds the lock.
+// pass places the items that fit on the group's own workers and returns plans for
+// those to be tried at other groups. The caller holds the lock.
 func (g *Group) pass() []*plan {
 	cell := g.cfg.Cell.State()
 	view, _ := g.view(cell)
@@ -118,24 +119,24 @@
 		if !ok {
 			break
 		}
-		if reason := g.blockedBy(it, cell); reason != "" {
+		if reason := g.blockReason(it, cell); reason != "" {
 			g.explain(it.Ref.Job, reason)
 			p.Blocked(it)
 			continue
 		}
 		pl := g.planFor(it)
 		switch {
-		case g.azFits(it, cell) && g.reserveOwn(pl):
+		case g.azAllows(it, cell) && g.reserveLocal(pl):
 			p.Placed(it)
-			g.begin(pl)
+			g.beginPlacing(pl)
 			g.proposeStarts(pl)
 		case len(remote) < maxPassRemote && it.Az != g.cfg.Az:
 			p.Placed(it)
-			g.begin(pl)
+			g.beginPlacing(pl)
 			remote = append(remote, pl)
 			p.Blocked(it)
 		default:
-			g.explain(it.Ref.Job, "no worker of the group has room for "+it.Size.String())
+			g.explain(it.Ref.Job, "no worker of the group has enough free capacity for "+it.Size.String())
 			g.evict(pl, cell)
 			p.Blocked(it)
 		}
@@ -143,13 +144,13 @@
 	return remote
 }
 
-// azFits reports whether the item may run in the group's availability zone.
-func (g *Group) azFits(it queue.Item, cell *config.State) bool {
+// azAllows reports whether the item may run in the group's availability zone.
+func (g *Group) azAllows(it queue.Item, cell *config.State) bool {
 	return !cell.AzOut(g.cfg.Az) && (it.Az == "" || it.Az == g.cfg.Az)
 }
 
-// view collects what the policy needs to know, and what waits in the whole
-// fleet for each team. The caller holds the lock.
+// view returns the policy's input, and the size of each team's waiting work in
+// the whole fleet. The caller holds the lock.
 func (g *Group) view(cell *config.State) (v queue.View, waiting map[string]jobs.Size) {
 	v = queue.View{NowMs: g.nowMs(), Used: map[string]jobs.Size{}, Share: map[string]int64{}}
 	waiting = map[string]jobs.Size{}
@@ -179,21 +180,22 @@
 	return v, waiting
 }
 
-// blockedBy returns why the item cannot start under the team's limit, or "".
-// The caller holds the lock.
-func (g *Group) blockedBy(it queue.Item, cell *config.State) string {
+// blockReason returns why the item cannot start under the team's limit, or "" if
+// it can. The caller holds the lock.
+func (g *Group) blockReason(it queue.Item, cell *config.State) string {
 	if !it.Total().Fits(cell.Limit(it.Team)) {
 		return fmt.Sprintf("needs %s, more than the limit of team %q", it.Total(), it.Team)
 	}
 	used := g.state.Used[it.Team].Plus(g.reserved[it.Team])
 	if !used.Plus(it.Total()).Fits(g.ceiling(it.Team, cell)) {
-		g.grants.want(it.Team, it.Total(), g.cfg.Clock.Now())
-		return fmt.Sprintf("waits for a larger part of the limit of team %q", it.Team)
+		g.grants.request(it.Team, it.Total(), g.cfg.Clock.Now())
+		return fmt.Sprintf("waits for a larger grant under the limit of team %q", it.Team)
 	}
 	return ""
 }
 
-// planFor lists the attempts of an item. The caller holds the lock.
+// planFor returns a plan with the next attempts of an item's waiting tasks. The
+// caller holds the lock.
 func (g *Group) planFor(it queue.Item) *plan {
 	j := g.state.Jobs[it.Ref.Job]
 	pl := &plan{epoch: g.epoch, item: it}
@@ -210,9 +212,9 @@
 	return pl
 }
 
-// reserveOwn reserves room for all attempts on the group's own workers, or for
-// none. The caller holds the lock.
-func (g *Group) reserveOwn(pl *plan) bool {
+// reserveLocal reserves capacity for all attempts of a plan on the group's own
+// workers, or for none. The caller holds the lock.
+func (g *Group) reserveLocal(pl *plan) bool {
 	slots, ok := reserveAll(g.books, pl.asks, g.nowMs())
 	if !ok {
 		return false
@@ -221,6 +223,7 @@
 	return true
 }
 
+// sites converts the reserved slots of a group.
 func sites(group string, slots []books.Slot) []jobs.Site {
 	list := make([]jobs.Site, len(slots))
 	for i, s := range slots {
@@ -229,14 +232,14 @@
 	return list
 }
 
-// reserveAll reserves room for all asks, or for none.
+// reserveAll reserves capacity for all asks, or for none.
 func reserveAll(b *books.Books, asks []books.Ask, nowMs int64) ([]books.Slot, bool) {
 	slots := make([]books.Slot, 0, len(asks))
 	for i, ask := range asks {
 		s, ok := b.Reserve(ask, nowMs)
 		if !ok {
-			for _, done := range asks[:i] {
-				b.Cancel(done.Attempt)
+			for _, reserved := range asks[:i] {
+				b.Cancel(reserved.Attempt)
 			}
 			return nil, false
 		}
@@ -245,32 +248,32 @@
 	return slots, true
 }
 
-// begin counts the item against its team while it is being placed. The caller
-// holds the lock.
-func (g *Group) begin(pl *plan) {
+// beginPlacing counts the item as used by its team until it is placed or its plan
+// is cancelled. The caller holds the lock.
+func (g *Group) beginPlacing(pl *plan) {
 	it := pl.item
 	g.placing[it.Ref] = it.Total()
 	g.reserved[it.Team] = g.reserved[it.Team].Plus(it.Total())
 }
 
-// finish ends what begin started. The caller holds the lock.
-func (g *Group) finish(pl *plan) {
+// endPlacing reverts beginPlacing. The caller holds the lock.
+func (g *Group) endPlacing(pl *plan) {
 	it := pl.item
 	size, ok := g.placing[it.Ref]
 	if !ok {
 		return
 	}
 	delete(g.placing, it.Ref)
-	left := g.reserved[it.Team].Minus(size)
-	if left.IsZero() {
+	remaining := g.reserved[it.Team].Minus(size)
+	if remaining.IsZero() {
 		delete(g.reserved, it.Team)
 		return
 	}
-	g.reserved[it.Team] = left
+	g.reserved[it.Team] = remaining
 }
 
-// proposeStarts records the intents of a fully reserved plan and starts the
-// attempts once they are durable. The caller holds the lock.
+// proposeStarts proposes the start intents of a fully reserved plan. The attempts
+// start once these are durable. The caller holds the lock.
 func (g *Group) proposeStarts(pl *plan) {
 	records := make([]group.Record, len(pl.tasks))
 	for i, ref := range pl.tasks {
@@ -278,51 +281,51 @@
 			Ref: ref, Attempt: pl.asks[i].Attempt.Number, Site: pl.sites[i], AtMs: g.nowMs(),
 		}}
 	}
-	err := g.propose(proposal{records: records, done: func(err error) { g.startsRecorded(pl, err) }})
+	err := g.propose(proposal{records: records, done: func(err error) { g.startsCommitted(pl, err) }})
 	if err != nil {
-		g.abandon(pl, err.Error())
+		g.cancelPlan(pl, err.Error())
 	}
 }
 
-// abandon gives a plan up before anything was recorded. The caller holds the
-// lock.
-func (g *Group) abandon(pl *plan, reason string) {
+// cancelPlan cancels a plan whose start intents are not recorded, and retries the
+// item later. The caller holds the lock.
+func (g *Group) cancelPlan(pl *plan, reason string) {
 	if pl.epoch != g.epoch {
 		return
 	}
-	g.finish(pl)
+	g.endPlacing(pl)
 	for _, ask := range pl.asks {
 		g.books.Cancel(ask.Attempt)
 	}
 	g.explain(pl.item.Ref.Job, reason)
-	if g.stillWaits(pl.item) {
-		g.hold(pl.item, retryAfter(pl.item.Kind))
+	if g.stillWaiting(pl.item) {
+		g.requeueAfter(pl.item, retryDelay(pl.item.Kind))
 	}
 }
 
-// retryAfter returns how long an item waits that found no room.
-func retryAfter(k jobs.Kind) time.Duration {
+// retryDelay returns the delay before an item of kind k is retried.
+func retryDelay(k jobs.Kind) time.Duration {
 	if k == jobs.Urgent {
-		return retryUrgent
+		return urgentRetryDelay
 	}
-	return retryBlocked
+	return blockedRetryDelay
 }
 
-// startsRecorded starts the attempts whose intents have become durable. An
-// attempt that was overtaken by a cancellation has no intent and is dropped.
-func (g *Group) startsRecorded(pl *plan, err error) {
+// startsCommitted starts the attempts whose intents are durable. An attempt whose
+// task was cancelled first has no intent and is dropped.
+func (g *Group) startsCommitted(pl *plan, err error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if err != nil {
-		g.abandon(pl, err.Error())
+		g.cancelPlan(pl, err.Error())
 		return
 	}
 	if pl.epoch != g.epoch {
 		return
 	}
-	g.finish(pl)
+	g.endPlacing(pl)
 	for i, ref := range pl.tasks {
-		t, ok := g.placed(ref, pl.asks[i].Attempt.Number)
+		t, ok := g.placedTask(ref, pl.asks[i].Attempt.Number)
 		if !ok {
 			g.books.Cancel(pl.asks[i].Attempt)
 			continue
@@ -337,7 +340,7 @@
 	}
 }
 
-// placeRemote tries to reserve room for a plan at other groups.
+// placeRemote tries to place a plan on the workers of other groups.
 func (g *Group) placeRemote(ctx context.Context, pl *plan) {
 	ok := g.reserveRemote(ctx, pl)
 	g.mu.Lock()
@@ -346,19 +349,19 @@
 		return
 	}
 	if !ok {
-		g.abandon(pl, "no group has room for "+pl.item.Size.String())
+		g.cancelPlan(pl, "no group has enough free capacity for "+pl.item.Size.String())
 		g.evict(pl, g.cfg.Cell.State())
 		return
 	}
 	g.proposeStarts(pl)
 }
 
-// reserveTimeout bounds a reservation at another group.
+// reserveTimeout bounds a reserve request to another group's owner.
 const reserveTimeout = time.Second
 
-// reserveRemote asks the groups that seem to have room, fullest first, so that
-// the others keep large holes. A gang that fits no single group is refused
-// here; it waits until one has room for all of it.
+// reserveRemote tries to reserve capacity at the groups that seem to have enough.
+// It starts with the fullest group, to limit fragmentation in the others. A gang
+// is placed in a single group, so it waits until one has capacity for all of it.
 func (g *Group) reserveRemote(ctx context.Context, pl *plan) bool {
 	cell := g.cfg.Cell.State()
 	for _, d := range candidates(g.cfg.Remote.Duties(), pl.item, cell) {
@@ -375,15 +378,16 @@
 			return true
 		}
 		if err != nil && fault.RanOf(err) == fault.Unknown {
-			// The reservation may stand. It lapses by itself, but the same
-			// attempt must not be reserved at a second group meanwhile.
+			// The reservation may exist. It expires, but until then the same
+			// attempt must not be reserved at a second group.
 			return false
 		}
 	}
 	return false
 }
 
-// candidates returns the groups whose free room could hold the item.
+// candidates returns the groups whose free capacity may fit the item, fullest
+// first.
 func candidates(duties []wire.Duty, it queue.Item, cell *config.State) []wire.Duty {
 	var list []wire.Duty
 	for _, d := range duties {
@@ -398,20 +402,20 @@
 	return list
 }
 
-// sortByFree puts the groups with the least free room first.
+// sortByFree sorts groups by free CPU capacity, least first.
 func sortByFree(list []wire.Duty) {
 	sort.SliceStable(list, func(i, j int) bool { return list[i].Free.CPU < list[j].Free.CPU })
 }
 
-// explain keeps a reason for a job, if it differs from the newest. The caller
-// holds the lock.
+// explain adds an explanation of a job's status, if it differs from the newest.
+// The caller holds the lock.
 func (g *Group) explain(id jobs.ID, reason string) {
-	list := g.why[id]
+	list := g.reasons[id]
 	if len(list) > 0 && list[len(list)-1] == reason {
 		return
 	}
 	if list = append(list, reason); len(list) > maxReasons {
 		list = list[1:]
 	}
-	g.why[id] = list
+	g.reasons[id] = list
 }
--- a/internal/node/owner/serve.go
+++ b/internal/node/owner/serve.go
@@ -11,17 +11,18 @@
 	"lagooncourse/internal/plat/worker"
 )
 
-// This file serves the homes of jobs that run on the group's workers: they
-// reserve room, start and stop attempts, and ask what became of them.
+// This file serves the home groups of jobs that run on the group's workers. They
+// reserve capacity, start and stop attempts, and query the state of attempts.
 
-// Reserve reserves room for all attempts of another group's plan, or for none.
+// Reserve reserves capacity for all attempts of another group's plan, or for
+// none.
 func (g *Group) Reserve(_ context.Context, msg wire.ReserveMsg) (a wire.ReserveAnswer, err error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.epoch == 0 {
 		return a, notOwner(g.cfg.Name)
 	}
-	if err := g.mayStart(); err != nil {
+	if err := g.checkStartAllowed(); err != nil {
 		return a, err
 	}
 	until := g.nowMs() + msg.TTLMs
@@ -30,14 +31,14 @@
 	}
 	slots, ok := reserveAll(g.books, msg.Asks, g.nowMs())
 	if !ok {
-		return a, fault.New(fault.Overload, fault.NotRun, "group %q has no room", g.cfg.Name)
+		return a, fault.New(fault.Overload, fault.NotRun, "group %q does not have enough free capacity", g.cfg.Name)
 	}
 	return wire.ReserveAnswer{Slots: slots}, nil
 }
 
-// mayStart returns an error if no work may start in the group's availability
-// zone now.
-func (g *Group) mayStart() error {
+// checkStartAllowed returns an error if no task may start in the group's
+// availability zone now.
+func (g *Group) checkStartAllowed() error {
 	if err := g.cfg.Cell.Fresh(); err != nil {
 		return err
 	}
@@ -47,17 +48,17 @@
 	return nil
 }
 
-// Start starts a reserved attempt. The answer Absent means that it does not
-// run and never will.
+// Start starts a reserved attempt. The answer Absent means that the attempt does
+// not run and never will.
 func (g *Group) Start(ctx context.Context, msg wire.StartMsg) (a wire.StartAnswer, err error) {
-	k, order, epoch, err := g.beginStart(msg)
+	lr, order, epoch, err := g.beginStart(msg)
 	if err != nil {
 		return a, err
 	}
-	if k == nil {
+	if lr == nil {
 		return wire.StartAnswer{Place: books.Absent}, nil
 	}
-	err = k.w.Start(ctx, startRequest(msg, epoch, order))
+	err = lr.client.Start(ctx, startRequest(msg, epoch, order))
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.epoch != epoch {
@@ -72,19 +73,19 @@
 		return wire.StartAnswer{Place: books.Absent}, nil
 	}
 	g.books.Unsure(msg.Attempt)
-	g.stats.Unsure++
+	g.stats.UnsureStarts++
 	return wire.StartAnswer{Place: books.Unsure}, nil
 }
 
-// beginStart books the start as sent. A nil keeper means that the attempt must
-// not start.
-func (g *Group) beginStart(msg wire.StartMsg) (k *keeper, order books.Order, epoch uint64, err error) {
+// beginStart marks the start request as sent. A nil renewer means that the
+// attempt must not start.
+func (g *Group) beginStart(msg wire.StartMsg) (lr *leaseRenewer, order books.Order, epoch uint64, err error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.epoch == 0 {
 		return nil, order, 0, notOwner(g.cfg.Name)
 	}
-	if g.mayStart() != nil {
+	if g.checkStartAllowed() != nil {
 		g.books.Cancel(msg.Attempt)
 		return nil, order, 0, nil
 	}
@@ -92,7 +93,7 @@
 	if !ok {
 		return nil, order, 0, nil
 	}
-	return g.keepers[order.Worker], order, g.epoch, nil
+	return g.renewers[order.Worker], order, g.epoch, nil
 }
 
 func startRequest(msg wire.StartMsg, epoch uint64, order books.Order) worker.StartRequest {
@@ -106,8 +107,8 @@
 	}
 }
 
-// Stop ends an attempt on one of the group's workers. Its end is reported like
-// any other.
+// Stop asks one of the group's workers to stop an attempt. The end is reported
+// like any other.
 func (g *Group) Stop(ctx context.Context, msg wire.StopMsg) error {
 	g.mu.Lock()
 	if g.epoch == 0 {
@@ -115,21 +116,22 @@
 		return notOwner(g.cfg.Name)
 	}
 	id, ok := g.books.WorkerOf(msg.Attempt)
-	k, epoch := g.keepers[id], g.epoch
+	lr, epoch := g.renewers[id], g.epoch
 	g.mu.Unlock()
-	if !ok || k == nil {
+	if !ok || lr == nil {
 		return nil
 	}
-	return k.w.Stop(ctx, worker.StopRequest{
+	return lr.client.Stop(ctx, worker.StopRequest{
 		Token:      worker.Token{Epoch: epoch},
 		Attempt:    worker.Attempt{Task: msg.Attempt.Task, Number: msg.Attempt.Number},
 		Checkpoint: msg.Checkpoint,
 	})
 }
 
-// Where says what became of attempts that were meant for the group's workers.
-// It asks the log first: an owner that was paused would call absent what a
-// later owner has started.
+// Where returns the state of attempts that were placed on the group's workers.
+// It first confirms the ownership from the log. Otherwise an owner that resumes
+// after a pause could report an attempt as absent that a later owner has
+// started.
 func (g *Group) Where(ctx context.Context, msg wire.WhereMsg) (a wire.WhereAnswer, err error) {
 	if err := g.confirmOwner(ctx); err != nil {
 		return a, err
@@ -150,19 +152,20 @@
 	return a, nil
 }
 
-// drainBatch bounds the tasks that are moved off at each look, so that a zone
-// that leaves does not flood the others at once.
-const drainBatch = 8
+// maxDrainBatch bounds the tasks that one round of draining stops, so that an
+// availability zone taken out of service does not overload the others.
+const maxDrainBatch = 8
 
-// drain stops tasks, with their state kept, on workers that are leaving or
-// whose availability zone is out of service.
+// drain stops tasks, with a checkpoint, on workers that are leaving or whose
+// availability zone is out of service.
 func (g *Group) drain(ctx context.Context) {
-	for _, at := range g.toDrain(g.cfg.Cell.State()) {
+	for _, at := range g.attemptsToDrain(g.cfg.Cell.State()) {
 		go func() { _ = g.Stop(ctx, wire.StopMsg{Group: g.cfg.Name, Attempt: at, Checkpoint: true}) }()
 	}
 }
 
-func (g *Group) toDrain(cell *config.State) []books.Attempt {
+// attemptsToDrain returns the attempts for the next round of draining.
+func (g *Group) attemptsToDrain(cell *config.State) []books.Attempt {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	out := cell.AzOut(g.cfg.Az)
@@ -172,7 +175,7 @@
 			continue
 		}
 		for _, b := range g.books.Running(h.ID) {
-			if len(list) < drainBatch {
+			if len(list) < maxDrainBatch {
 				list = append(list, b.Attempt)
 			}
 		}
--- a/internal/node/owner/start.go
+++ b/internal/node/owner/start.go
@@ -11,12 +11,12 @@
 	"lagooncourse/internal/node/wire"
 )
 
-// This file starts attempts whose intent is durable, and records the ends that
-// are known at once.
+// This file starts attempts whose intent is durable, and records an end at once
+// if the start is known to have failed.
 
-// placed returns the task if the attempt is its running one. The caller holds
-// the lock.
-func (g *Group) placed(ref jobs.Ref, attempt int) (jobs.Task, bool) {
+// placedTask returns the task, and whether it is placed with this attempt. The
+// caller holds the lock.
+func (g *Group) placedTask(ref jobs.Ref, attempt int) (jobs.Task, bool) {
 	j := g.state.Jobs[ref.Job]
 	if j == nil || ref.Index >= len(j.Tasks) {
 		return jobs.Task{}, false
@@ -25,11 +25,12 @@
 	return t, t.State == jobs.Placed && t.Attempt == attempt
 }
 
-// startTimeout bounds a start request to another group's owner.
+// startTimeout bounds a start request to the owner of a worker's group.
 const startTimeout = 3 * time.Second
 
-// startAttempt has the keeper of the worker start an attempt, and records at
-// once if it surely does not run. In doubt, reconciling settles it.
+// startAttempt sends a start request to the owner of the worker's group. If the
+// attempt is known not to run, it records the end; an unknown outcome is left to
+// reconcileLoop.
 func (g *Group) startAttempt(ref jobs.Ref, msg wire.StartMsg) {
 	ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
 	defer cancel()
@@ -42,11 +43,12 @@
 	}
 }
 
-// proposeEnd records the end of an attempt, without waiting for it.
+// proposeEnd proposes the record of an attempt's end, without waiting for the
+// commit.
 func (g *Group) proposeEnd(ref jobs.Ref, attempt int, r books.Report) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if _, ok := g.placed(ref, attempt); !ok {
+	if _, ok := g.placedTask(ref, attempt); !ok {
 		return
 	}
 	_ = g.propose(proposal{records: []group.Record{{End: &jobs.End{
--- a/internal/node/owner/watch.go
+++ b/internal/node/owner/watch.go
@@ -9,25 +9,25 @@
 	"lagooncourse/internal/cell/queue"
 )
 
-// This file keeps the queue in step with the durable state: a task waits in the
-// queue exactly as long as its state says so, a gang as long as it can start.
+// This file updates the queue from the durable state. A task is in the queue, or
+// delayed before a retry, while its state is Waiting; a gang while it can start.
 
-// watcher keeps the queue in step with the state.
-type watcher Group
+// taskObserver updates the queue at every change of a task.
+type taskObserver Group
 
-var _ group.Observer = (*watcher)(nil)
+var _ group.Observer = (*taskObserver)(nil)
 
 // TaskChanged implements group.Observer. It is called with the lock held, or
 // during a claim.
-func (w *watcher) TaskChanged(j *jobs.Job, index int, before jobs.Task) {
-	g := (*Group)(w)
+func (o *taskObserver) TaskChanged(j *jobs.Job, index int, before jobs.Task) {
+	g := (*Group)(o)
 	t := j.Tasks[index]
 	ref := jobs.Ref{Job: j.ID, Index: index}
 	if before.State == jobs.Placed && t.State != jobs.Placed {
-		delete(g.known, books.Attempt{Task: ref.String(), Number: t.Attempt})
+		delete(g.confirmed, books.Attempt{Task: ref.String(), Number: t.Attempt})
 	}
 	if j.EndMs > 0 {
-		delete(g.why, j.ID)
+		delete(g.reasons, j.ID)
 	}
 	if j.Spec.Kind == jobs.Gang {
 		g.gangChanged(j)
@@ -38,17 +38,17 @@
 		return
 	}
 	if t.Failures > 0 && before.State == jobs.Placed {
-		g.hold(itemOf(j, index), failureDelay)
+		g.requeueAfter(queueItem(j, index), failureDelay)
 		return
 	}
-	g.queue.Add(itemOf(j, index))
+	g.queue.Add(queueItem(j, index))
 }
 
-// failureDelay is how long a task waits after it has failed.
+// failureDelay is the delay before a failed task is retried.
 const failureDelay = 500 * time.Millisecond
 
-// waiting returns how many tasks of the job wait.
-func waiting(j *jobs.Job) int {
+// waitingTasks returns the number of the job's waiting tasks.
+func waitingTasks(j *jobs.Job) int {
 	n := 0
 	for _, t := range j.Tasks {
 		if t.State == jobs.Waiting {
@@ -58,22 +58,24 @@
 	return n
 }
 
+// gangChanged updates the queue after a change of a gang's task.
 func (g *Group) gangChanged(j *jobs.Job) {
 	ref := jobs.Ref{Job: j.ID}
-	if !gangWaits(j) {
+	if !gangReady(j) {
 		g.queue.Remove(ref)
 		return
 	}
-	g.queue.Add(itemOf(j, 0))
+	g.queue.Add(queueItem(j, 0))
 }
 
-func itemOf(j *jobs.Job, index int) queue.Item {
+// queueItem returns the queue item of a task, or of a gang's waiting tasks.
+func queueItem(j *jobs.Job, index int) queue.Item {
 	it := queue.Item{
 		Ref: jobs.Ref{Job: j.ID, Index: index}, Team: j.Spec.Team, Kind: j.Spec.Kind,
 		Size: j.Spec.Size, Count: 1, Az: j.Spec.Az, AtMs: j.SubmitMs,
 	}
 	if j.Spec.Kind == jobs.Gang {
-		it.Count = waiting(j)
+		it.Count = waitingTasks(j)
 	}
 	return it
 }
