--- a/internal/cell/sched/planner.go
+++ b/internal/cell/sched/planner.go
@@ -1,27 +1,31 @@
-// Package sched decides what runs where: it keeps the accepted jobs, books
-// room on workers, orders waiting steps, and turns what workers report into
-// the next state of each job.
+// Package sched places the tasks of accepted jobs on workers. It keeps the
+// accepted jobs, allocates worker capacity, orders the waiting steps, and
+// derives the next state of each job from the reports of the workers.
 //
-// A Planner belongs to the one owner of the jobs' topic. It has no clock, no
-// sockets and no goroutines: instants and answers go in, decisions come out.
-// Three invariants hold everything together:
+// A Planner belongs to the single owner of the job topic. It has no clock, no
+// sockets and no goroutines: its callers pass in the time and all replies, and
+// act on what it returns. It maintains three invariants:
 //
-//   - A run is sent only after the intent to run it is stored, so a successor
-//     knows every run that can exist.
-//   - Room is booked before the intent and released only when the worker lists
-//     the end of the run, denies the run for good, or has surely lost it.
-//   - A task gets a new run only when its last one has been settled.
+//   - A start is sent only after the intent to start it is stored, so the
+//     records name every run that can exist when another owner takes over.
+//   - Capacity is allocated before the intent is stored. It is released only
+//     when the run has ended or can no longer exist: the start was not sent, or
+//     the worker lists the end, refuses the start, omits the run from a list
+//     requested after a confirmed stop, restarts, or loses its lease.
+//   - A task gets a new run only after its previous run has been settled.
 //
-// Rejected way: starting before the intent is stored. It saves one append, and
-// makes a successor hold back every waiting task while one worker is silent.
+// Starting a run before its intent is stored would save one append. But after
+// a takeover, the new owner would have to hold back every waiting task as long
+// as one worker does not answer.
 //
 // # Usage
 //
 //	p := sched.NewPlanner(sched.Config{State: state, LeaseMs: 8000})
 //	p.Accept(spec, now)
-//	plan := p.Plan(now)           // books room; plan.Starts wait for the store
-//	batch, err := p.TakeDirty()   // records to append
-//	p.Stored(batch)               // then the starts may be sent
+//	plan := p.Plan(hosts, now)    // allocates capacity
+//	batch, err := p.TakeDirty(now) // records to append
+//	p.Stored(batch)               // after the append
+//	send := p.Release(plan.Starts, now)
 //	p.Started(start, sched.StartUp, now)
 //	p.Listed("w1", lists, now)
 package sched
@@ -33,55 +37,55 @@
 	"lagooncourse/internal/cell/trust"
 )
 
-// Instant is a moment by both clocks.
+// Instant is a point in time on both clocks.
 type Instant struct {
-	Ms   int64 // steady clock of the process, in ms
-	Wall int64 // ms since 1970
+	Ms   int64 // monotonic clock of the process, in ms
+	Wall int64 // wall clock, in ms since 1970
 }
 
-// Limit is what a team may have running and its share.
+// Limit is the quota and the weight of a team.
 type Limit struct {
 	Max    jobs.Size // 0 in a dimension means no limit
-	Weight int64
+	Weight int64     // jobs a second; 0 means no limit
 }
 
-// View is what the configuration and the operators say.
+// View is the current configuration, including the changes made by operators.
 type View struct {
 	Queues map[string]Queue
 	Teams  map[string]Limit
 	Closed map[string]bool // availability zones out of service
 }
 
-// Config describes a Planner.
+// Config holds the parameters of a Planner.
 type Config struct {
 	State      *State
-	SilenceMs  int64 // after a claim, how long an earlier owner may have renewed leases
-	LeaseMs    int64 // of a renewal
-	LeaseMaxMs int64 // longest lease that a worker grants, whatever is asked for
-	KeepMs     int64 // how long an ended job is remembered
+	SilenceMs  int64 // how long after a claim the previous owner may still renew leases
+	LeaseMs    int64 // lease that a renewal asks for
+	LeaseMaxMs int64 // longest lease that a worker grants
+	KeepMs     int64 // how long an ended job is retained
 }
 
-// Bounds and margins.
+// Limits of lease expiry.
 const (
-	clockDrift    = 0.03 // a worker's clock may be 2% slow; 1% for our own
-	leaseMarginMs = 300  // delay between a call's departure and its effect
+	clockDrift    = 0.03 // 2% for a slow worker clock and 1% for the clock of this process
+	leaseMarginMs = 300  // delay between the sending of a call and its effect
 )
 
-// part is one step of one occurrence of an open job.
+// stepInstance is one step of one occurrence of an open job.
 type part struct {
 	job     *Job
 	occ     int
 	step    int
-	from    int64 // since when its job has been owed, ms since 1970
-	due     int64 // by which the job should have ended, ms since 1970
-	readyMs int64 // steady instant from which it could run; 0 while it may not
+	from    int64 // when the occurrence became due, in ms since 1970
+	due     int64 // when the job should have ended, in ms since 1970
+	readyMs int64 // monotonic time at which it became ready to run
 	advice  adviceState
-	restMs  int64 // found no room: it is not looked at before this instant
-	rank    rank  // when it was looked at last
-	vain    int   // tries since it was placed or advised last
-	failRun int   // run of a gang whose failure has been counted
+	restMs  int64 // no placement is tried before this time
+	rank    rank  // result of the last ranking
+	vain    int   // failed tries since the last start or advice
+	failRun int   // last run of a gang whose failure was counted
 	queue   *Queue
-	viewNo  int // of the configuration from which queue was taken
+	viewNo  int // version of the configuration that queue is from
 }
 
 func (pt *part) spec() Step    { return pt.job.Spec.Steps[pt.step] }
@@ -96,38 +100,38 @@
 	step int
 }
 
-// Planner is the owner's view of jobs and workers. It is not safe for
-// concurrent use.
+// Planner holds the jobs and workers of one owner and decides which tasks run
+// where. It is not safe for concurrent use.
 type Planner struct {
 	cfg     Config
 	state   *State
 	view    View
 	queues  map[string]*Queue
-	viewNo  int // counts configurations
+	viewNo  int // number of configurations set so far
 	workers map[string]*Worker
-	used    map[string]jobs.Size // team -> booked
+	used    map[string]jobs.Size // allocated, by team
 	parts   map[partKey]*part
-	waiting map[partKey]*part // parts with a task that could be placed
-	dirty   map[string]bool   // jobs whose progress is not stored
-	fresh   []Spec            // accepted, not stored
-	durable map[string]Verdict
-	known   map[string]bool // jobs whose acceptance is stored
+	waiting map[partKey]*part  // step instances with a task that is ready to be placed
+	dirty   map[string]bool    // jobs whose latest progress is not in a batch yet
+	fresh   []Spec             // accepted jobs that are not in a batch yet
+	durable map[string]Verdict // verdicts that are stored, by job
+	known   map[string]bool    // jobs whose acceptance is stored
 	stops   []Stop
 	trust   *trust.Trust
-	good    map[string]*ratio // queue -> share of workers that advice allows
+	good    map[string]*ratio // share of the workers that advice allows, by queue
 	learned learned
-	buckets map[string]*bucket // team -> jobs sent against its weight
-	ended   []endedJob
+	buckets map[string]*bucket // by team
+	ended   []endedJob         // by time of their end
 }
 
 type endedJob struct {
 	id string
-	at int64 // steady ms
+	at int64 // monotonic, in ms
 }
 
-// NewPlanner returns the planner of an owner that has read all records.
-// Placed tasks are looked for on their workers before anything else happens
-// to them.
+// NewPlanner returns a planner for an owner that has read all records. Tasks
+// in state Placed are adopted: they keep their allocation until their worker
+// has listed its runs or its lease has expired.
 func NewPlanner(cfg Config, now Instant) *Planner {
 	p := &Planner{
 		cfg: cfg, state: cfg.State, workers: map[string]*Worker{}, used: map[string]jobs.Size{},
@@ -150,7 +154,7 @@
 	return p
 }
 
-// adopt books the placed tasks of a job where they were placed.
+// adopt allocates capacity for the tasks of a job that are in state Placed.
 func (p *Planner) adopt(j *Job, now Instant) {
 	for occ := range j.occurrences() {
 		for step, s := range j.Spec.Steps {
@@ -171,8 +175,8 @@
 	}
 }
 
-// addWorker adds a worker that has not been fenced yet: an earlier owner may go
-// on renewing its lease for a while.
+// addWorker adds a worker that is not fenced yet: a previous owner may still
+// renew its lease for SilenceMs.
 func (p *Planner) addWorker(info WorkerInfo, now Instant) *Worker {
 	w := newWorker(info)
 	w.sureMs = now.Ms + p.cfg.SilenceMs + p.leaseBound()
@@ -180,13 +184,14 @@
 	return w
 }
 
-// leaseBound is how long after a renewal was sent its lease may last.
+// leaseBound returns how long a lease may last after its renewal was sent, in ms.
 func (p *Planner) leaseBound() int64 { return bound(p.cfg.LeaseMs) }
 
-// longestBound is how long the longest lease that a worker grants may last.
+// maxLeaseBound is leaseBound for the longest lease that a worker grants.
 func (p *Planner) longestBound() int64 { return bound(max(p.cfg.LeaseMaxMs, p.cfg.LeaseMs)) }
 
-// bound is how long a lease of ms on a worker's clock may last on ours.
+// elapsedBound returns how long a lease of ms on a worker's clock may last on
+// the clock of this process.
 func bound(ms int64) int64 { return ms + int64(float64(ms)*clockDrift) + leaseMarginMs }
 
 func (p *Planner) book(w *Worker, b *booking) {
@@ -200,7 +205,7 @@
 	}
 }
 
-// open makes the parts of a job known to the queue.
+// addSteps adds the step instances of an open job.
 func (p *Planner) open(j *Job, now Instant) {
 	for occ := range j.occurrences() {
 		for step := range j.Spec.Steps {
@@ -211,8 +216,8 @@
 	p.refresh(j, now)
 }
 
-// refresh finds out which parts of an open job could run, and whether the job
-// has ended.
+// refresh recomputes which step instances of an open job are ready, and ends
+// the job if all its tasks are done or it was cancelled.
 func (p *Planner) refresh(j *Job, now Instant) {
 	if j.Progress.Verdict != Open {
 		return
@@ -263,7 +268,7 @@
 		delete(p.waiting, key)
 		return
 	}
-	pt.restMs = 0 // a run of its own has ended, and may have left room
+	pt.restMs = 0 // one of its runs may have ended and released capacity
 	if p.waiting[key] == nil {
 		pt.readyMs = now.Ms
 		p.schedule(pt)
@@ -271,8 +276,9 @@
 	}
 }
 
-// schedule computes by when the part's job should have ended: its longest chain
-// of steps times the queue's factor, and the queue's latency more.
+// setDeadline computes when the job should have ended: its due time, plus the
+// run time of its critical path times the queue's slack factor, plus the
+// queue's target latency.
 func (p *Planner) schedule(pt *part) {
 	spec := pt.job.Spec
 	pt.from = spec.AtMs
@@ -292,7 +298,7 @@
 	pt.due = pt.from + int64(q.Slack*float64(chain)) + q.TargetMs
 }
 
-// end gives a job its verdict and stops what still runs.
+// endJob sets the verdict of a job and stops its remaining runs.
 func (p *Planner) end(j *Job, v Verdict, now Instant) {
 	j.Progress.Verdict = v
 	j.Progress.EndMs = now.Wall
@@ -309,7 +315,7 @@
 	p.stopAll(j)
 }
 
-// stopAll asks for the end of every run of a job.
+// stopJob requests a stop of every run of a job.
 func (p *Planner) stopAll(j *Job) {
 	for occ := range j.occurrences() {
 		for step := range j.Spec.Steps {
@@ -322,7 +328,7 @@
 	}
 }
 
-// stopTask asks for the end of a task's run, wherever it is booked.
+// stopTask requests a stop of the current run of a task.
 func (p *Planner) stopTask(j *Job, r Ref) {
 	t := j.task(r)
 	if t == nil || t.Worker == "" {
@@ -333,6 +339,8 @@
 	}
 }
 
+// stop requests a stop of a run. A start whose intent is not stored yet needs
+// none, because Release withdraws it.
 func (p *Planner) stop(w *Worker, r Ref, run int) {
 	b := w.runs[r]
 	if b != nil && b.run == run {
@@ -344,14 +352,14 @@
 	p.stops = append(p.stops, Stop{Worker: w.ID, Ref: r, Run: run})
 }
 
-// Stop asks a worker to end a run.
+// Stop is a request to a worker to stop a run.
 type Stop struct {
 	Worker string
 	Ref    Ref
 	Run    int
 }
 
-// TakeStops returns the stops asked for since the last call.
+// TakeStops returns the stops requested since the last call.
 func (p *Planner) TakeStops() []Stop {
 	s := p.stops
 	p.stops = nil
@@ -368,10 +376,10 @@
 	}
 }
 
-// noQueue stands for a queue that the configuration no longer has.
+// missingQueue replaces a queue that is no longer configured.
 var noQueue = &Queue{}
 
-// queue returns the queue of a part.
+// queue returns the queue of a step instance, cached for each configuration.
 func (p *Planner) queue(pt *part) *Queue {
 	if pt.queue == nil || pt.viewNo != p.viewNo {
 		pt.queue, pt.viewNo = p.queues[pt.job.Spec.Queue], p.viewNo
@@ -382,7 +390,8 @@
 	return pt.queue
 }
 
-// Accept adds a job. A job that is known already is left as it is.
+// Accept adds a job and reports whether it is new. A job whose ID is in use is
+// ignored.
 func (p *Planner) Accept(spec Spec, now Instant) (added bool) {
 	if p.state.Jobs[spec.ID] != nil {
 		return false
@@ -395,7 +404,7 @@
 	return true
 }
 
-// Cancel ends a job on request and reports whether it is known.
+// Cancel cancels a job and reports whether the job exists.
 func (p *Planner) Cancel(id string, now Instant) bool {
 	j := p.state.Jobs[id]
 	if j == nil {
