--- a/internal/cell/sched/state.go
+++ b/internal/cell/sched/state.go
@@ -7,31 +7,30 @@
 	"lagooncourse/internal/base/frame"
 )
 
-// Prefixes of the keys under which records are stored.
+// Key prefixes of job records, and the key of the claim record.
 const (
 	specPrefix     = "j"
 	progressPrefix = "p"
 	claimKey       = "o"
 )
 
-// Job is a job as the records describe it.
+// Job is a job as read from its records.
 type Job struct {
 	Spec     Spec
 	Progress Progress
 
 	first []int // index of the first task of each step within an occurrence
-	width int   // tasks of one occurrence
+	width int   // number of tasks of one occurrence
 }
 
-// State is what the records of the jobs' topic amount to. It is a pure
-// function of them: of each key the newest record counts, so a reader may
-// start from any compacted prefix.
+// State is the result of applying the records of the job topic. It depends only
+// on the newest record of each key, so it can be read from a compacted log.
 type State struct {
 	Jobs  map[string]*Job
 	Claim Claim
-	Next  int64 // offset of the first record not applied yet
+	Next  int64 // offset of the next record to apply
 
-	orphans map[string]Progress // progress read before its spec
+	orphans map[string]Progress // progress records read before their spec
 }
 
 // NewState returns the state of an empty topic.
@@ -50,10 +49,10 @@
 	return j
 }
 
-// occurrences returns how often the job's steps run.
+// occurrences returns the number of occurrences of the job.
 func (j *Job) occurrences() int { return len(j.Progress.Tasks) / max(j.width, 1) }
 
-// task returns the task that ref names, nil if the job has none of that name.
+// task returns the task of a Ref, or nil if the job has no such task.
 func (j *Job) task(r Ref) *Task {
 	if r.Step < 0 || r.Step >= len(j.first) || r.Index < 0 || r.Index >= j.Spec.Steps[r.Step].Count {
 		return nil
@@ -71,7 +70,7 @@
 	return j.Progress.Tasks[from : from+j.Spec.Steps[step].Count]
 }
 
-// Apply takes one record into the state.
+// Apply applies one record to the state.
 func (s *State) Apply(key string, value []byte) (err error) {
 	defer fault.Note(&err, "record %q", key)
 	if key == claimKey {
@@ -79,7 +78,7 @@
 		return err
 	}
 	if len(key) < 2 {
-		return merry.New("key names nothing")
+		return merry.New("record key has no job ID")
 	}
 	id := key[1:]
 	switch key[:1] {
@@ -88,7 +87,7 @@
 	case progressPrefix:
 		return s.applyProgress(id, value)
 	}
-	return merry.New("key has an unknown prefix")
+	return merry.New("record key has an unknown prefix")
 }
 
 func (s *State) applySpec(id string, value []byte) error {
@@ -128,29 +127,29 @@
 		return nil
 	}
 	if len(p.Tasks) != len(j.Progress.Tasks) {
-		return merry.Errorf("progress of %d tasks for a job of %d", len(p.Tasks), len(j.Progress.Tasks))
+		return merry.Errorf("progress record has %d tasks, but the job has %d", len(p.Tasks), len(j.Progress.Tasks))
 	}
 	j.Progress = p
 	return nil
 }
 
-// ClaimRecord returns the record of a claim.
+// ClaimRecord returns the key and value of a claim record.
 func ClaimRecord(c Claim) (key string, value []byte, err error) {
 	value, err = frame.Encode(c)
 	return claimKey, value, err
 }
 
-// SpecRecord returns the record of an acceptance.
+// SpecRecord returns the key and value of the record of an accepted job.
 func SpecRecord(spec Spec) (key string, value []byte, err error) {
 	value, err = frame.Encode(spec)
 	return specPrefix + spec.ID, value, err
 }
 
-// ProgressRecord returns the record of a job's progress.
+// ProgressRecord returns the key and value of a progress record.
 func ProgressRecord(id string, p Progress) (key string, value []byte, err error) {
 	value, err = frame.Encode(p)
 	return progressPrefix + id, value, err
 }
 
-// DropKeys returns the keys to drop when a job is forgotten.
+// DropKeys returns the record keys to delete when the retention of a job ends.
 func DropKeys(id string) []string { return []string{progressPrefix + id, specPrefix + id} }
--- a/internal/cell/sched/types.go
+++ b/internal/cell/sched/types.go
@@ -6,27 +6,27 @@
 	"lagooncourse/internal/cell/jobs"
 )
 
-// Step is one step of a job: Count tasks of one kind.
+// Step is one step of a job. It has Count identical tasks.
 type Step struct {
 	Count      int
 	Size       jobs.Size // of each task
-	EstimateMs int64     // declared run time, off by up to 90%
-	After      []int     // steps whose tasks must all be done first
+	EstimateMs int64     // declared run time; may be off by up to 90%
+	After      []int     // indexes of the steps that must be done first
 	Saves      bool      // tasks write checkpoints
-	Gang       bool      // tasks start together and end together
-	SameRack   bool      // tasks run slower on more than one rack
-	Needs      string    // label that the worker must have; empty for none
-	Near       string    // rack where the data is; empty for none
-	Apart      int       // most tasks of one occurrence on one worker; 0 for no limit
-	Copies     bool      // several runs of one task may run at once
+	Gang       bool      // tasks start and end together
+	SameRack   bool      // tasks run slower when spread over several racks
+	Needs      string    // label that a worker must have; empty for none
+	Near       string    // rack that holds the data; empty for none
+	Apart      int       // maximum tasks of one occurrence on one worker; 0 for no limit
+	Copies     bool      // several runs of one task may be active at once
 	Lasts      bool      // tasks run until the job is cancelled
-	Image      string    // tasks of one image behave alike
-	TargetMs   int64     // bound of the tail of a lasting task's response time
-	Fills      bool      // CPU is not counted against the worker
-	MayMiss    int       // lasting tasks that may be away by our own doing
+	Image      string    // tasks of one image have similar run times
+	TargetMs   int64     // tail latency target of a long-running task
+	Fills      bool      // uses spare CPU: none is allocated for it
+	MayMiss    int       // long-running tasks that the scheduler may keep down at once
 }
 
-// Spec is an accepted job. It never changes.
+// Spec is an accepted job. It is immutable.
 type Spec struct {
 	ID      string
 	Queue   string
@@ -35,36 +35,36 @@
 	Steps   []Step
 	FirstMs int64 // due time of occurrence 0, in ms since 1970
 	EveryMs int64
-	Times   int   // occurrences; 0 for a job that runs once, at once
-	AtMs    int64 // when it was accepted, in ms since 1970
-	Excess  bool  // came beyond its team's weight
+	Times   int   // number of occurrences; 0 for a job that runs once, immediately
+	AtMs    int64 // time of acceptance, in ms since 1970
+	Excess  bool  // submitted in excess of the team's rate
 }
 
-// TaskState is a task's durable state.
+// TaskState is the stored state of a task.
 type TaskState uint8
 
-// The states.
+// Task states. They are stored as numbers.
 const (
 	Waiting TaskState = iota
-	Placed            // the intent to run it is recorded
+	Placed            // the intent to run it is in the job's progress
 	Done
 	Failed
 )
 
-// Task is the durable state of one task.
+// Task is the stored record of one task.
 type Task struct {
 	State  TaskState
 	Run    int    // highest run number used
-	Fails  int    // runs that ended failed
-	Saved  string // newest checkpoint
-	Worker string // where Run was placed
+	Fails  int    // number of failed runs
+	Saved  string // latest checkpoint
+	Worker string // worker of the latest run
 	Born   int64  // incarnation of that worker
 }
 
-// Verdict is how a job as a whole has ended.
+// Verdict is the final state of a job, Open while it has none.
 type Verdict uint8
 
-// The verdicts.
+// Verdicts. They are stored as numbers.
 const (
 	Open Verdict = iota
 	Completed
@@ -72,62 +72,63 @@
 	Cancelled
 )
 
-// Progress is the durable state of a job after its acceptance. Each record of
-// it replaces the one before.
+// Progress is the stored state of a job after its acceptance. Each record
+// replaces the previous one.
 type Progress struct {
 	Cancel  bool
 	Verdict Verdict
 	EndMs   int64 // when the verdict was reached, in ms since 1970
 	Tasks   []Task
-	Begun   bool // a run has been confirmed by its worker
+	Begun   bool // a worker has confirmed a run
 }
 
-// Claim is the record of an ownership.
+// Claim is the record by which a host becomes the owner of the job topic.
 type Claim struct {
 	Epoch int64
 	Host  string // name of the host
-	Addr  string // where its peers reach it
+	Addr  string // address for its peers
 }
 
-// Queue is a queue as configured.
+// Queue is the configuration of a queue.
 type Queue struct {
 	Name      string
 	Host      string
 	Prefix    string
-	Service   string // pool of the workers that run its tasks
-	Open      bool   // needs no key
-	Priority  int    // 0 comes first
-	Attempts  int    // failed runs of a task after which its job has failed
-	Slack     float64
-	TargetMs  int64
+	Service   string  // worker pool that runs its tasks
+	Open      bool    // no access key is required
+	Priority  int     // 0 is the highest
+	Attempts  int     // failed runs of one task after which its job fails
+	Slack     float64 // factor on the critical path of a job, for its deadline
+	TargetMs  int64   // added to the deadline of a job
 	TimeoutMs int64
-	Advice    *AdviceCost
+	Advice    *AdviceCost // nil if starts need no ticket
 }
 
-// AdviceCost says what a call to the advice service takes.
+// AdviceCost describes how long a request to the advice service takes, and how
+// long its tickets are valid.
 type AdviceCost struct {
-	BaseMs   float64
-	WorkerMs float64
-	ValidMs  int64 // of a ticket
+	BaseMs   float64 // for each request
+	WorkerMs float64 // for each worker in a request
+	ValidMs  int64   // validity of a ticket
 }
 
-// cost returns what a question about n workers takes, in ms.
+// cost returns how long a request about n workers takes, in ms.
 func (a *AdviceCost) cost(n int) float64 { return a.BaseMs + a.WorkerMs*float64(n) }
 
-// WorkerInfo is what the registry says about a worker.
+// WorkerInfo is the registry entry of a worker.
 type WorkerInfo struct {
 	ID       string
 	Addr     string
-	Service  string
+	Service  string // worker pool
 	Az       string
 	Rack     string
 	Labels   []string
 	Capacity jobs.Size
-	Born     int64
+	Born     int64 // incarnation: time of its start
 	Draining bool
 }
 
-// Running is a task that a worker says it runs.
+// Running is a run that a worker lists as active.
 type Running struct {
 	Task    string
 	Run     int
@@ -135,30 +136,31 @@
 	Percent int64
 }
 
-// How says how a run ended.
+// How is the reason for which a run ended.
 type How string
 
-// The ends of a run.
+// Reasons for the end of a run.
 const (
 	EndDone    How = "done"
 	EndFailed  How = "failed"
 	EndStopped How = "stopped"
-	EndLapsed  How = "lapsed" // the worker's lease ran out
+	EndLapsed  How = "lapsed" // the lease of the worker expired
 	EndBroken  How = "broken" // another member of the gang ended
-	EndAlone   How = "alone"  // the rest of the gang did not come
-	EndLost    How = "lost"   // the worker is gone with what it ran
+	EndAlone   How = "alone"  // the other members of the gang did not start in time
+	EndLost    How = "lost"   // the worker disappeared
 )
 
-// Finished is an end that a worker lists until it is told that it was seen.
+// Finished is the end of a run. A worker lists it until the owner acknowledges
+// its number.
 type Finished struct {
-	N     int64 // counts the ends of one incarnation, from 1
+	N     int64 // sequence number within one incarnation, from 1
 	Task  string
 	Run   int
 	How   How
 	Saved string
 }
 
-// Ref names a task: occurrence, step and index within a job.
+// Ref identifies a task by its job, occurrence, step and index.
 type Ref struct {
 	Job   string
 	Occ   int
@@ -181,7 +183,7 @@
 	return r.Job + "." + strconv.Itoa(r.Occ) + "." + strconv.Itoa(r.Step)
 }
 
-// ParseRef parses the form that String returns.
+// ParseRef parses the format of Ref.String.
 func ParseRef(s string) (Ref, bool) {
 	var nums [3]int
 	end := len(s)
