--- a/internal/cell/sched/place.go
+++ b/internal/cell/sched/place.go
@@ -7,40 +7,42 @@
 	"lagooncourse/internal/cell/trust"
 )
 
-// Start is an order to run a task. It may be sent once the intent is stored.
+// Start is an order to a worker to run a task. It may be sent once Release has
+// returned it.
 type Start struct {
 	Worker  string
 	Addr    string
-	Born    int64
+	Born    int64 // incarnation of the worker
 	Ref     Ref
 	Run     int
 	Payload string
-	Saved   string
-	Ticket  string
+	Saved   string // checkpoint to resume from
+	Ticket  string // from the advice service
 	part    partKey
 }
 
-// Plan is what is to be done now.
+// Plan is the result of one planning round.
 type Plan struct {
-	Starts []Start
-	Wants  []Want
+	Starts []Start // to be passed to Release once their intents are stored
+	Wants  []Want  // to be sent to the advice service
 
 	desks   Desks
-	full    bool              // no desk was free; none will be before the next plan
-	counted bool              // kept has been counted
-	kept    int               // workers kept for gangs
-	indexes map[string]*index // by pool
+	full    bool              // no host is free for a request during this plan
+	counted bool              // reserved has been computed
+	kept    int               // number of workers reserved for gangs
+	indexes map[string]*index // by worker pool
 }
 
-// mostPlanned bounds the starts of one plan, so that one append carries them.
+// maxPlanStarts limits the starts of one plan, so that their intents fit into one
+// append.
 const mostPlanned = 200
 
-// mostTried bounds the parts that one plan looks at, so that a long backlog
-// costs no more than a short one.
+// maxPlanSteps limits the step instances that one plan tries to place, which
+// bounds its cost for a long backlog.
 const mostTried = 160
 
-// Plan places waiting tasks in the order of their rank. Tasks that find no
-// room do not hold up others.
+// Plan places waiting tasks in the order of their rank. A task for which no
+// worker has capacity does not block the ones after it.
 func (p *Planner) Plan(desks Desks, now Instant) Plan {
 	plan := Plan{desks: desks}
 	for _, pt := range p.first(mostTried, now) {
@@ -52,13 +54,14 @@
 	return plan
 }
 
-// timely reports whether the part's occurrence is due.
+// occurrenceDue reports whether the occurrence of a step instance is due.
 func (p *Planner) timely(pt *part, now Instant) bool {
 	spec := pt.job.Spec
 	return spec.Times == 0 || now.Wall >= spec.FirstMs+int64(pt.occ)*spec.EveryMs
 }
 
-// place starts what fits of a part, and asks for the advice that the rest needs.
+// place starts as many tasks of a step instance as fit, and requests advice for
+// the others.
 func (p *Planner) place(pt *part, plan *Plan, now Instant) {
 	var idle []int
 	for i, t := range pt.tasks() {
@@ -94,19 +97,20 @@
 	p.refresh(pt.job, now)
 }
 
-// Rests of parts that find no room. Those of urgent parts that can be in time are
-// short, since room that they miss goes to others. Rests grow after some tries in
-// vain, so that a backlog costs little processor time while nothing changes.
+// Backoff of step instances that could not be placed. It is short for queues of
+// priority 0 while they can meet their deadline, since other steps take the
+// capacity that they miss. It grows after some failed tries, to limit the CPU
+// cost of a backlog.
 const (
 	urgentRestMs     = 8
 	urgentLongRestMs = 16
 	restMs           = 40
 	longRestMs       = 160
-	lostRestMs       = 250 // of parts that are too late to be worth anything
+	lostRestMs       = 250 // for rankExpired
 	patientTries     = 4
 )
 
-// rest keeps a part from being looked at for a while.
+// backOff delays the next try to place a step instance.
 func (p *Planner) rest(pt *part, now Instant) {
 	pt.vain++
 	urgent, tired := p.queue(pt).Priority == 0 && pt.rank == rankInTime, pt.vain > patientTries
@@ -122,8 +126,8 @@
 	pt.restMs = max(pt.restMs, now.Ms+ms)
 }
 
-// ask asks for the advice that a part needs. A part for which nothing can be
-// asked now rests.
+// requestAdvice backs off and, if a host is free, requests advice about workers
+// for need more tasks of a step instance.
 func (p *Planner) ask(pt *part, need int, plan *Plan, now Instant) {
 	p.rest(pt, now)
 	q := p.queue(pt)
@@ -139,13 +143,13 @@
 	}
 }
 
-// idle reports whether a desk is free.
+// hostFree reports whether a host is free to send an advice request.
 func (plan *Plan) idle() bool {
 	plan.full = plan.full || !plan.desks.Idle()
 	return !plan.full
 }
 
-// take reserves a desk for a question.
+// takeHost claims a host for an advice request.
 func (plan *Plan) take(costMs float64) (desk string, ok bool) {
 	if !plan.idle() {
 		return "", false
@@ -153,7 +157,7 @@
 	return plan.desks.Take(costMs)
 }
 
-// question asks about workers through a desk that has been taken.
+// addRequest adds an advice request that a claimed host is to send.
 func (p *Planner) question(pt *part, ids []string, desk string, plan *Plan) {
 	pt.advice.asked++
 	plan.Wants = append(plan.Wants, Want{
@@ -161,8 +165,8 @@
 	})
 }
 
-// withinLimit cuts the tasks to what the team may have running in addition. A
-// gang is cut to nothing.
+// withinLimit returns the idle tasks that fit into the team's quota: for a gang,
+// all or none.
 func (p *Planner) withinLimit(pt *part, idle []int) []int {
 	spec := pt.job.Spec
 	l, ok := p.view.Teams[spec.Team]
@@ -178,7 +182,7 @@
 	return idle[:n]
 }
 
-// unlimited replaces the dimensions that have no limit.
+// unlimited sets the dimensions without a limit to jobs.Unlimited.
 func unlimited(s jobs.Size) jobs.Size {
 	for _, d := range []*int64{&s.CPU, &s.Mem, &s.Accel} {
 		if *d == 0 {
@@ -188,7 +192,7 @@
 	return s
 }
 
-// gangRun returns the next run number of a gang, which its members share.
+// gangRun returns the next run number of a gang. All members share it.
 func gangRun(tasks []Task) int {
 	run := 0
 	for _, t := range tasks {
@@ -197,19 +201,20 @@
 	return run + 1
 }
 
-// site is a worker that could take tasks of a part.
+// placement is a worker that has capacity for tasks of a step instance.
 type site struct {
 	w     *Worker
 	slots int
-	far   bool  // away from the data
-	kept  bool  // for a gang that this part may overtake
-	slow  int   // by its class of speed
-	left  int64 // CPU left after one task
+	far   bool  // not in the rack that holds the data
+	kept  bool  // reserved for a gang of lower priority
+	slow  int   // slowdown class of the worker
+	left  int64 // free CPU after placing one task
 }
 
-// sites chooses a worker for each of up to n tasks: near the data, not slower
-// than others, and the fullest first, so that wide tasks find room elsewhere. A
-// gang that runs slower on several racks gets one rack, if one has the room.
+// selectWorkers returns a worker for each of up to n tasks. It prefers workers
+// near the data, then unreserved ones, then fast ones, and then those with the
+// least free CPU, which leaves others free for wide tasks. A gang with SameRack
+// is placed in one rack if any rack has the capacity.
 func (p *Planner) sites(pt *part, n int, plan *Plan, now Instant) []*Worker {
 	s := pt.spec()
 	var list []site
@@ -259,8 +264,8 @@
 	return out
 }
 
-// oneRack keeps the sites of the first rack that has room for n tasks, or all
-// of them when no rack has.
+// oneRack returns the placements in the first rack that has capacity for n
+// tasks, or the whole list if no rack has.
 func oneRack(list []site, n int) []site {
 	sum := map[string]int{}
 	for _, c := range list {
@@ -281,8 +286,8 @@
 	return list
 }
 
-// roomFor returns how many more tasks of the part the worker can take, up to
-// most.
+// slotsFor returns how many more tasks of a step instance the worker can take,
+// up to limit.
 func (p *Planner) roomFor(pt *part, w *Worker, most int, now Instant) int {
 	if w.keptFrom(pt, p.queue(pt).Priority, now) {
 		return 0
@@ -294,7 +299,7 @@
 	return max(slots(w.free(), pt.spec().charge(), most), 0)
 }
 
-// apart cuts a number of tasks to what the worker may have of the part.
+// withinApart applies the step's limit of tasks on one worker to n.
 func (p *Planner) apart(pt *part, w *Worker, most int) int {
 	if limit := pt.spec().Apart; limit > 0 {
 		return min(most, limit-p.onWorker(pt, w))
@@ -302,7 +307,7 @@
 	return most
 }
 
-// onWorker counts the part's tasks that are booked on the worker.
+// countOn returns how many tasks of a step instance are allocated on the worker.
 func (p *Planner) onWorker(pt *part, w *Worker) int {
 	n := 0
 	for r := range w.runs {
@@ -313,8 +318,8 @@
 	return n
 }
 
-// probes returns how many tasks a distrusted worker may be tried with: one at a
-// time, and none of a gang.
+// probeSlots returns how many more tasks may be placed on a worker in state
+// Probing: one at a time, and none of a gang.
 func (p *Planner) probes(pt *part, w *Worker) int {
 	if pt.spec().Gang {
 		return 0
@@ -322,7 +327,8 @@
 	return 1 - len(w.runs)
 }
 
-// start books a task on a worker.
+// start allocates capacity for a task on a worker and adds its start to the
+// plan. A run of 0 stands for the task's next run number.
 func (p *Planner) start(pt *part, index, run int, w *Worker, plan *Plan, now Instant) {
 	t := &pt.tasks()[index]
 	if run == 0 {
@@ -343,8 +349,9 @@
 	})
 }
 
-// Release returns which of the starts may be sent now that their intents are
-// stored. The others are undone: their worker, ticket or job has changed.
+// Release returns the starts that may be sent now that their intents are
+// stored. It withdraws those whose job has ended, or whose worker or ticket can
+// no longer be used, and the other members of their gangs.
 func (p *Planner) Release(starts []Start, now Instant) (send []Start) {
 	bad := map[partKey]bool{}
 	for _, s := range starts {
@@ -370,6 +377,8 @@
 	return send
 }
 
+// allocationOf returns the allocation of a start while its outcome is unknown, or
+// nil.
 func (p *Planner) bookingOf(w *Worker, s Start) *booking {
 	if w == nil {
 		return nil
@@ -381,14 +390,16 @@
 	return b
 }
 
-// Due reports whether a start that was released is still to be sent: its room
-// is booked, on the same life of its worker, and nobody has asked for its end.
+// Due reports whether a released start should still be sent: its capacity is
+// allocated on the same incarnation of the worker, and no stop was requested.
 func (p *Planner) Due(s Start) bool {
 	w := p.workers[s.Worker]
 	b := p.bookingOf(w, s)
 	return b != nil && b.phase == phaseSent && !b.stopping && w.Born == s.Born
 }
 
+// sendable reports whether a start can be sent: its step instance is open, its
+// worker usable and its ticket valid.
 func (p *Planner) sendable(s Start, now Instant) bool {
 	pt, w := p.parts[s.part], p.workers[s.Worker]
 	if pt == nil || w == nil || w.Born != s.Born || p.bookingOf(w, s) == nil || !p.usable(w, pt, now) {
@@ -398,7 +409,7 @@
 	return ok
 }
 
-// requeue lets a task wait again after its run has been settled without a
+// requeue returns a task to state Waiting after its run was settled without a
 // result.
 func (p *Planner) requeue(r Ref, run int, now Instant) {
 	j := p.state.Jobs[r.Job]
--- a/internal/cell/sched/worker.go
+++ b/internal/cell/sched/worker.go
@@ -6,57 +6,57 @@
 	"lagooncourse/internal/cell/jobs"
 )
 
-// phase says how far an order to start a run has come.
+// phase is the progress of a start, from its intent to the end of the run.
 type phase uint8
 
 const (
 	phaseIntent  phase = iota // the intent is not stored yet; nothing was sent
-	phaseSent                 // the order is under way
-	phaseUp                   // the worker has confirmed it
-	phaseAdopted              // placed by an earlier owner, not seen in a list yet
-	phaseDenied               // the worker has confirmed a stop; the next list settles it
+	phaseSent                 // the start was released for sending
+	phaseUp                   // the worker has confirmed the start or listed the run
+	phaseAdopted              // placed by a previous owner and not listed yet
+	phaseDenied               // the worker has confirmed a stop; a later list settles the run
 )
 
-// booking is room kept on a worker for one run. It is released when the
-// worker lists the end, denies the run for good, or is lost.
+// allocation is the capacity of a worker that one run holds. The package
+// comment says when it is released.
 type booking struct {
 	ref      Ref
 	run      int
 	size     jobs.Size
 	team     string
 	phase    phase
-	sinceMs  int64 // when the phase began
-	stopping bool  // a stop was asked for
-	runMs    int64 // how long it is expected to run
-	endMs    int64 // when it is expected to end
+	sinceMs  int64 // start of the phase
+	stopping bool  // a stop was requested
+	runMs    int64 // expected run time
+	endMs    int64 // expected end
 }
 
-// Worker is a worker with what is booked on it.
+// Worker is a worker with its allocations.
 type Worker struct {
 	WorkerInfo
 	runs    map[Ref]*booking
 	booked  jobs.Size
-	listed  bool  // its lists were taken under the present ownership
+	listed  bool  // it has sent its lists to this owner, which fences previous owners
 	contact bool  // it answered the last call
-	present bool  // the registry has an entry for it
-	sureMs  int64 // from then on its lease has surely run out without further contact
-	seen    int64 // highest number of an end that was applied
-	stored  int64 // highest number of an end that is stored
-	penalty int64 // no starts before this instant
-	kept    kept  // for a gang that waits
+	present bool  // it has a registry entry
+	sureMs  int64 // when its lease has expired at the latest, unless it is renewed
+	seen    int64 // number of the last end that was applied
+	stored  int64 // number of the last end that is stored
+	penalty int64 // no starts before this time
+	kept    kept  // by a waiting gang
 
-	indexedCPU int64     // free when the plan began
-	laterRoom  jobs.Size // expected within gatherMs, for the plan
+	indexedCPU int64     // free CPU when the index was built
+	laterRoom  jobs.Size // free capacity expected after horizonMs, set once a plan
 }
 
 func newWorker(info WorkerInfo) *Worker {
 	return &Worker{WorkerInfo: info, runs: map[Ref]*booking{}}
 }
 
-// free returns the room that is not booked.
+// free returns the capacity that is not allocated.
 func (w *Worker) free() jobs.Size { return w.Capacity.Minus(w.booked) }
 
-// charge returns what a task of the step takes of a worker's room.
+// demand returns the capacity that is allocated for a task of the step.
 func (s Step) charge() jobs.Size {
 	size := s.Size
 	if s.Fills {
@@ -65,7 +65,7 @@
 	return size
 }
 
-// slots returns how many tasks of the size fit into the room.
+// slots returns how many tasks of a size fit into free capacity, up to limit.
 func slots(room, size jobs.Size, most int) int {
 	n := most
 	for _, d := range [...][2]int64{{room.CPU, size.CPU}, {room.Mem, size.Mem}, {room.Accel, size.Accel}} {
@@ -85,14 +85,14 @@
 	return false
 }
 
-// book keeps room for a run.
+// allocate adds an allocation.
 func (w *Worker) book(b *booking) {
 	w.runs[b.ref] = b
 	w.booked = w.booked.Plus(b.size)
 }
 
-// Audit compares the sums of what is booked with the bookings. A difference is
-// a fault of the planner.
+// Audit checks the allocation totals of workers and teams against the sums of
+// their allocations. A difference is a bug in the planner.
 func (p *Planner) Audit() error {
 	used := map[string]jobs.Size{}
 	for _, w := range p.workers {
@@ -101,22 +101,23 @@
 			sum = sum.Plus(b.size)
 			used[b.team] = used[b.team].Plus(b.size)
 			if b.ref != ref {
-				return merry.Errorf("booking of %s under %s", b.ref, ref)
+				return merry.Errorf("allocation of %s is stored under %s", b.ref, ref)
 			}
 		}
 		if sum != w.booked {
-			return merry.Errorf("worker %s: %s booked, %s by its runs", w.ID, w.booked, sum)
+			return merry.Errorf("worker %s: total allocation is %s, but its runs add up to %s", w.ID, w.booked, sum)
 		}
 	}
 	for team, size := range p.used {
 		if size != used[team] {
-			return merry.Errorf("team %s: %s booked, %s by its runs", team, size, used[team])
+			return merry.Errorf("team %s: total allocation is %s, but its runs add up to %s", team, size, used[team])
 		}
 	}
 	return nil
 }
 
-// release frees the room of a run and reports whether it was booked.
+// release removes the allocation of a task and returns it, or nil if there was
+// none.
 func (w *Worker) release(r Ref) *booking {
 	b := w.runs[r]
 	if b == nil {
