--- a/internal/cell/sched/advice.go
+++ b/internal/cell/sched/advice.go
@@ -1,65 +1,66 @@
 package sched
 
-// grant is what the advice service said about a worker and a step. Whether the
-// worker may run the step does not change; the ticket expires.
+// grant is the answer of the advice service about a worker and a step. Whether
+// the worker is allowed does not change, but its ticket expires.
 type grant struct {
 	allowed bool
 	ticket  string
 	untilMs int64
-	born    int64 // incarnation for which the ticket is valid
+	born    int64 // worker incarnation for which the ticket is valid
 }
 
-// adviceState is what is known about the workers that may run a part.
+// adviceState holds the advice received for a step instance.
 type adviceState struct {
-	grants map[string]grant
-	asked  int   // questions under way
-	askMs  int64 // no further question before this instant
+	grants map[string]grant // by worker
+	asked  int              // requests without a reply
+	askMs  int64            // no further request before this time
 }
 
-// ratio is a running mean of the share of workers that advice allows.
+// allowedShare is a moving average of the share of workers that advice allows.
 type ratio struct{ mean float64 }
 
+// Limits of advice requests.
 const (
-	leastRatio  = 0.05 // keeps one bad streak from asking for everybody
-	firstRatio  = 0.4  // before anything is known about a queue
-	ratioWeight = 0.1  // of a new answer in the mean
-	askMargin   = 1.3  // workers asked, against those needed by the mean
-	leastAsk    = 4    // fewer cost nearly as much, and often allow too few
-	mostAsk     = 100  // the service's bound for one question
-	retryAskMs  = 100  // pause after a question that brought too little
-	ticketEdge  = 80   // ms for a start to arrive before its ticket expires
-	dearAskMs   = 200  // questions with a base cost above this ask for all workers at once
-	dearAskMost = 32   // workers in one dear question
+	leastRatio  = 0.05 // limits the size of requests after a series of denials
+	firstRatio  = 0.4  // of a queue without replies
+	ratioWeight = 0.1  // weight of a new sample in the moving average
+	askMargin   = 1.3  // factor on the number of workers needed on average
+	leastAsk    = 4    // smaller requests cost nearly as much, and often allow too few workers
+	mostAsk     = 100  // limit of the advice service
+	retryAskMs  = 100  // delay after a failed request
+	ticketEdge  = 80   // time for a start to arrive before its ticket expires
+	dearAskMs   = 200  // base cost from which a request takes as many workers as it may
+	dearAskMost = 32   // workers in one costly request
 )
 
-// Want is a question for the advice service.
+// Want is a request to the advice service about one step instance.
 type Want struct {
 	Part    partKey
-	Step    string
+	Step    string // JOB.OCC.STEP
 	Workers []string
-	CostMs  float64 // time that the answer takes
-	Desk    string  // through which the question is asked
+	CostMs  float64 // expected response time
+	Desk    string  // host that sends the request
 }
 
-// Desks are the hosts through which advice can be asked. The service takes one
-// question at a time from each, so a question that finds no free desk waits
-// here, where the more urgent ones overtake it.
+// Desks are the hosts that can send advice requests. The service takes one
+// request at a time from each host. While no host is free, steps wait in the
+// planner, so the next free host serves the most urgent one.
 type Desks interface {
-	// Idle reports whether any desk is free.
+	// Idle reports whether any host is free.
 	Idle() bool
-	// Take reserves a desk for a question of that cost. The desk is released
-	// when the question has been answered.
+	// Take claims a host for a request of the given cost. The host is released
+	// after the reply.
 	Take(costMs float64) (desk string, ok bool)
 }
 
-// usable reports whether the worker may be given work of the step at all.
+// usable reports whether the worker may run tasks of the step, capacity aside.
 func (p *Planner) usable(w *Worker, pt *part, now Instant) bool {
 	s := pt.spec()
 	return w.Service == p.queue(pt).Service && p.available(w, now) && (s.Needs == "" || w.hasLabel(s.Needs))
 }
 
-// ticket returns the ticket for a start on the worker, and whether one is
-// needed and missing.
+// ticket returns the ticket for a start on the worker. ok is false if a ticket is
+// needed and no valid one is there.
 func (p *Planner) ticket(w *Worker, pt *part, now Instant) (ticket string, ok bool) {
 	if p.queue(pt).Advice == nil {
 		return "", true
@@ -71,10 +72,10 @@
 	return g.ticket, true
 }
 
-// want returns the workers to ask about next, if any: for new tickets where
-// enough allowed workers have room, or nobody is left to ask about; otherwise
-// about workers that nobody has asked about yet, those with room and fast ones
-// first.
+// workersToAsk returns the workers for the next advice request, if any. If the
+// allowed workers have capacity for need tasks, or no other worker has any, the
+// request renews expired tickets. Otherwise it covers workers without advice:
+// those with capacity, fast ones first, or else a few without capacity.
 func (p *Planner) want(pt *part, need int, ix *index, now Instant) (ids []string) {
 	stale, unknown, spare, have := p.asking(pt, need, ix, now)
 	switch {
@@ -88,15 +89,16 @@
 	return ids[:min(len(ids), mostAsk)]
 }
 
-// candidate is a worker about which a question could be asked.
+// candidate is a worker for an advice request.
 type candidate struct {
 	id    string
-	slots int // tasks of the part for which it has room
+	slots int // tasks for which it has capacity
 }
 
-// asking returns the workers with room whose tickets have expired, those that
-// nobody has asked about, by their class of speed, a few without room that
-// nobody has asked about, and how many tasks the allowed ones have room for.
+// adviceCandidates returns the allowed workers with capacity whose tickets have
+// expired, the workers without advice that have capacity, by slowdown class, a
+// few without advice and without capacity, and the number of tasks for which
+// the allowed workers have capacity.
 func (p *Planner) asking(pt *part, need int, ix *index, now Instant) (stale []string, unknown []candidate, spare []string, have int) {
 	size := pt.spec().charge()
 	var classes [slowClasses][]candidate
@@ -128,8 +130,9 @@
 	return stale, unknown, spare, have
 }
 
-// pick takes as many of the workers as the need makes likely to suffice. A dear
-// question takes as many as it may, since another one would cost nearly as much.
+// pickUnknown returns as many workers as are likely needed for need tasks. A
+// costly request takes up to costlyMaxWorkers, since a second request would cost
+// nearly as much as the first.
 func (p *Planner) pick(pt *part, need int, unknown []candidate) (ids []string) {
 	dear := p.queue(pt).Advice.BaseMs >= dearAskMs
 	share := p.allowedShare(pt.job.Spec.Queue)
@@ -144,7 +147,7 @@
 	return ids
 }
 
-// allowedShare estimates which share of the workers advice allows for a queue.
+// expectedShare estimates the share of workers that advice allows for a queue.
 func (p *Planner) allowedShare(queue string) float64 {
 	if r := p.good[queue]; r != nil {
 		return max(r.mean, leastRatio)
@@ -152,8 +155,9 @@
 	return firstRatio
 }
 
-// Advised takes the answer to a question. With ok false nothing was learned.
-// The tickets expire validMs after the instant issued, in steady ms.
+// Advised handles the reply to a request; ok is false if the request failed.
+// Workers without a ticket are denied. The tickets expire ValidMs after issued,
+// a monotonic time in ms.
 func (p *Planner) Advised(w Want, tickets map[string]string, ok bool, issued int64, now Instant) {
 	pt := p.parts[w.Part]
 	if pt == nil {
@@ -181,6 +185,7 @@
 	p.learn(q.Name, float64(len(tickets))/float64(max(len(w.Workers), 1)))
 }
 
+// recordShare adds a sample to the allowed share of a queue.
 func (p *Planner) learn(queue string, share float64) {
 	r := p.good[queue]
 	if r == nil {
--- a/internal/cell/sched/order.go
+++ b/internal/cell/sched/order.go
@@ -5,24 +5,24 @@
 	"sort"
 )
 
-// rank says how much a part that waits is still worth. Work that can still be
-// in time goes first; what can only be late, or came beyond the share of its
-// team, yields to it, and what has lost all its worth comes last. Without this
-// order a backlog makes everything late, and stays.
+// rank is the first sort key of waiting step instances. Those that can meet their
+// deadline come first, then late ones, then those in excess of their team's rate,
+// and last those that are too late to be of use. Ordered by age alone, a backlog
+// would make all jobs late and would not drain.
 type rank uint8
 
 const (
-	rankInTime rank = iota // can end by its due time
-	rankLate               // can end while a late end is still worth something
-	rankExcess             // its team sends more than its weight
-	rankLost               // too late to be worth anything
+	rankInTime rank = iota // can meet its deadline
+	rankLate               // will miss its deadline, but end within lateFactor
+	rankExcess             // submitted in excess of its team's rate
+	rankLost               // too late to be of use
 )
 
-// lateFactor is how many times its objective a job may take before its end is
-// worth nothing.
+// lateFactor times the time from the due time of a job to its deadline is the
+// time after which its result is of no use.
 const lateFactor = 3
 
-// standing is a part's place in the order.
+// rankedStep is a step instance with its sort keys.
 type standing struct {
 	pt       *part
 	rank     rank
@@ -30,7 +30,7 @@
 	due      int64
 }
 
-// before orders by rank, priority and due time.
+// before orders by rank, priority and deadline.
 func (s *standing) before(o *standing) bool {
 	switch {
 	case s.rank != o.rank:
@@ -53,7 +53,7 @@
 	return k.step < o.step
 }
 
-// standing computes a part's place, and keeps its rank.
+// rankStep computes the sort keys of a step instance and stores its rank.
 func (p *Planner) standing(pt *part, now Instant) standing {
 	q := p.queue(pt)
 	s := standing{pt: pt, priority: q.Priority, due: pt.due}
@@ -71,7 +71,8 @@
 	return s
 }
 
-// remaining is how long the part's step and those after it will take.
+// remaining estimates the total run time of a step and the steps that depend on
+// it, in ms.
 func (p *Planner) remaining(pt *part) int64 {
 	var ms int64
 	for i := pt.step; i < len(pt.job.Spec.Steps); i++ {
@@ -82,7 +83,7 @@
 	return ms
 }
 
-// dependsOn reports whether step i waits for step on, directly or not.
+// dependsOn reports whether step i depends on step on, directly or indirectly.
 func dependsOn(steps []Step, i, on int) bool {
 	for _, d := range steps[i].After {
 		if d == on || d > on && dependsOn(steps, d, on) {
@@ -92,7 +93,7 @@
 	return false
 }
 
-// worst is a heap whose root goes last.
+// rankHeap is a heap whose root is the last in order.
 type worst []standing
 
 func (h worst) Len() int           { return len(h) }
@@ -106,8 +107,9 @@
 	return x
 }
 
-// first returns the n parts that go first, in order. Parts that rest are passed
-// over, so that a front of parts without room does not starve what is behind.
+// firstSteps returns the first n waiting step instances, in order. It skips
+// those in backoff, so that many step instances without capacity at the front
+// do not starve the ones behind them.
 func (p *Planner) first(n int, now Instant) []*part {
 	h := make(worst, 0, min(n, len(p.waiting)))
 	for _, pt := range p.waiting {
@@ -135,17 +137,16 @@
 	return list
 }
 
-// bucket counts how many jobs a team has sent against its weight, which is in
-// jobs a second.
+// tokenBucket limits the rate of a team's jobs to its weight, in jobs a second.
 type bucket struct {
 	tokens float64
 	atMs   int64
 }
 
-// bucketSeconds is the size of a bucket, in seconds of the team's weight.
+// bucketSeconds is the burst size of a bucket, in seconds of the team's weight.
 const bucketSeconds = 2
 
-// excess takes a token and reports whether there was none.
+// exceedsRate takes a token of the team and reports whether there was none.
 func (p *Planner) excess(team string, now Instant) bool {
 	weight := float64(p.view.Teams[team].Weight)
 	if weight <= 0 {
