--- a/internal/cell/sched/gather.go
+++ b/internal/cell/sched/gather.go
@@ -2,40 +2,43 @@
 
 import "lagooncourse/internal/cell/jobs"
 
-// A gang needs all its room at once. Behind work that takes each core as it
-// becomes free, a wide gang would wait for ever, so room is gathered for it:
-// workers that it may run on, and that will have room within gatherMs, are kept
-// from other work of its priority and below until it can start. Work of a
-// higher priority may still use them, after all others.
+// A gang needs the capacity for all its tasks at once. A wide gang would starve
+// while smaller tasks take each core that becomes free. Workers are therefore
+// reserved for it: those that it may run on and that have capacity, or are
+// expected to have it within horizonMs. Other steps of the same or a lower
+// priority cannot use a reserved worker until the gang starts. Steps of a higher
+// priority can, but prefer unreserved workers.
 //
-// A worker is kept for keepMs at a time and renewed while the gang waits, so
-// what is kept for a gang that has ended, or has lost its rank, becomes free by
-// itself. Gangs that can no longer be in time get nothing kept.
+// A reservation lasts for reservationMs and is renewed while the gang waits, so
+// it expires when the gang ends or its rank drops. Only gangs that can meet
+// their deadline get reservations.
 
-// Bounds of gathering.
+// Limits of reservations.
 const (
-	gatherMs     = 3_000 // room expected within this time is worth waiting for: most tasks run for less
-	keepMs       = 250   // outlasts several rests of a part
-	mostKept     = 0.5   // share of the workers that may be kept at once
-	askLeadMs    = 100   // added to what a question for tickets takes
-	gangMargin   = 1.5   // room asked about, against room needed by the mean; all tickets have to be valid at once
-	mostExplored = 128   // workers asked about at once for one gang: four questions
+	gatherMs     = 3_000 // how far ahead free capacity is expected; most tasks run for less
+	keepMs       = 250   // outlasts several backoffs of a step instance
+	mostKept     = 0.5   // share of the workers that may be reserved at once
+	askLeadMs    = 100   // added to the response time of an advice request
+	gangMargin   = 1.5   // factor on the capacity needed on average, since all tickets have to be valid at once
+	mostExplored = 128   // workers in simultaneous requests for one gang: four requests
 )
 
-// kept says for which gang a worker is kept.
+// reservation is the gang for which a worker is reserved.
 type kept struct {
 	part     partKey
 	priority int
 	untilMs  int64
 }
 
-// keptFrom reports whether the worker is kept for another part that goes first.
+// reservedFrom reports whether the worker is reserved for another step instance
+// of the same or a higher priority.
 func (w *Worker) keptFrom(pt *part, priority int, now Instant) bool {
 	return now.Ms < w.kept.untilMs && priority >= w.kept.priority && w.kept.part != pt.key()
 }
 
-// roomBy returns the room that the worker is expected to have at an instant. A
-// run that is overdue by its own length is not expected to end.
+// freeBy returns the free capacity that the worker is expected to have at a
+// given time. A run that has taken more than twice its expected run time is not
+// expected to end.
 func (w *Worker) roomBy(at int64, now Instant) jobs.Size {
 	room := w.free()
 	for _, b := range w.runs {
@@ -46,15 +49,16 @@
 	return room
 }
 
-// prospect is a worker on which members of a gang might run.
+// gangWorker is a worker on which members of a gang might run.
 type prospect struct {
 	w     *Worker
-	room  int  // members for which it has, or will have, room
-	valid bool // its ticket outlasts a question
+	room  int  // members for which it has, or will have, capacity
+	valid bool // its ticket outlasts an advice request
 }
 
-// gather asks for the advice that a gang needs, and keeps room for it while it
-// waits: room that is there, if that will do; otherwise room that is expected.
+// prepareGang requests the advice that a gang needs and reserves workers for it
+// while it waits. It uses free capacity if that suffices, and otherwise the
+// capacity expected within horizonMs.
 func (p *Planner) gather(pt *part, need int, plan *Plan, now Instant) {
 	p.rest(pt, now)
 	ix := p.indexOf(p.queue(pt).Service, plan, now)
@@ -81,6 +85,7 @@
 	}
 }
 
+// totalSlots returns the number of members for which the workers have capacity.
 func sum(list []prospect) (n int) {
 	for _, c := range list {
 		n += c.room
@@ -88,8 +93,8 @@
 	return n
 }
 
-// present returns the workers that have room now: those that advice allows, and
-// those that nobody has asked about.
+// freeNow returns the workers that have free capacity: those that advice allows,
+// and those without advice.
 func (p *Planner) present(pt *part, ix *index, need int, now Instant) (known, unknown []prospect) {
 	size := pt.spec().charge()
 	answerMs := p.answerMs(pt, now)
@@ -105,8 +110,9 @@
 	return known, unknown
 }
 
-// expected returns the workers that will have room within gatherMs, those that
-// are kept for the gang already first, so that the choice is stable.
+// freeLater returns the workers that will have free capacity within horizonMs.
+// Workers that are already reserved for the gang come first, which keeps the
+// choice stable.
 func (p *Planner) expected(pt *part, ix *index, need int, now Instant) (known, unknown []prospect) {
 	size := pt.spec().charge()
 	answerMs := p.answerMs(pt, now)
@@ -128,8 +134,8 @@
 	return known, unknown
 }
 
-// prospective reports whether advice has been asked about a worker, and whether
-// tasks of the part may run there as far as is known.
+// mayRun reports whether there is advice about a worker, and whether the step
+// could run there: the worker suits it and was not denied.
 func (p *Planner) prospective(pt *part, w *Worker, now Instant) (asked, ok bool) {
 	if !p.suits(w, pt, now) {
 		return false, false
@@ -141,7 +147,8 @@
 	return asked, !asked || g.allowed
 }
 
-// classify adds a prospect with room to the list to which it belongs.
+// classify adds a worker with capacity to the workers that advice allows or to
+// those without advice.
 func (p *Planner) classify(pt *part, c prospect, asked bool, answerMs int64, known, unknown []prospect) (k, u []prospect) {
 	switch {
 	case c.room <= 0:
@@ -155,7 +162,7 @@
 	return known, unknown
 }
 
-// answerMs returns when the answer to a question asked now can be used.
+// replyMs returns when the reply to a request sent now can be used.
 func (p *Planner) answerMs(pt *part, now Instant) int64 {
 	at := now.Ms + askLeadMs
 	if a := p.queue(pt).Advice; a != nil {
@@ -164,7 +171,8 @@
 	return at
 }
 
-// soon returns for how many members there will be room when tickets have come.
+// slotsAtReply returns for how many members there will be capacity when the
+// tickets arrive.
 func (p *Planner) soon(pt *part, chosen []prospect, now Instant) (n int) {
 	at := p.answerMs(pt, now)
 	for _, c := range chosen {
@@ -173,8 +181,8 @@
 	return n
 }
 
-// take returns the first prospects that have room for need members between
-// them, and how many members are left without.
+// takeFirst returns the first workers that together have capacity for need
+// members, and the number of members that are left over.
 func take(list []prospect, need int) (out []prospect, missing int) {
 	for i, c := range list {
 		if need <= 0 {
@@ -185,8 +193,8 @@
 	return list, need
 }
 
-// explore returns as many of the workers that nobody has asked about as make
-// room for the missing members likely.
+// explore returns as many workers without advice as are likely needed for the
+// missing members.
 func (p *Planner) explore(pt *part, unknown []prospect, share float64, missing int) (ids []string) {
 	if missing <= 0 {
 		return nil
@@ -206,7 +214,7 @@
 	return ids
 }
 
-// keep keeps workers for a gang that can still be in time.
+// reserve reserves workers for a gang that can meet its deadline.
 func (p *Planner) keep(pt *part, chosen []prospect, inTime bool, plan *Plan, now Instant) {
 	if !inTime {
 		return
@@ -232,12 +240,13 @@
 	}
 }
 
-// keeps reports whether the worker is kept for the part.
+// reservedFor reports whether the worker is reserved for the step instance.
 func (w *Worker) keeps(mine partKey, now Instant) bool {
 	return now.Ms < w.kept.untilMs && w.kept.part == mine
 }
 
-// stale returns the ids of the prospects without a valid ticket.
+// withoutTicket returns the IDs of the workers whose ticket does not outlast a
+// request.
 func stale(list []prospect) (out []string) {
 	for _, c := range list {
 		if !c.valid {
@@ -247,8 +256,8 @@
 	return out
 }
 
-// askAll asks about workers, in several questions at once where they are many
-// and desks are free.
+// requestAll requests advice about workers. Many workers are split into several
+// simultaneous requests if enough hosts are free.
 func (p *Planner) askAll(pt *part, ids []string, plan *Plan, now Instant) {
 	q := p.queue(pt)
 	if q.Advice == nil || len(ids) == 0 || pt.advice.asked > 0 || now.Ms < pt.advice.askMs {
--- a/internal/cell/sched/index.go
+++ b/internal/cell/sched/index.go
@@ -9,17 +9,18 @@
 	"lagooncourse/internal/cell/trust"
 )
 
-// index is a pool's workers as one plan sees them, those with most free
-// processor time first. It is made once a plan, so that a part that fits
-// nowhere, or needs few workers, does not look at all of them. Bookings made
-// during the plan only take room away, so whoever uses the order checks the room
-// again.
+// index lists the available workers of a pool in descending order of free CPU.
+// It is built once a plan, so that step instances that fit nowhere or need few
+// workers do not iterate over all workers. Allocations made during the plan only
+// reduce the free CPU, so the order gives upper bounds and callers check the
+// capacity again.
 type index struct {
 	byFree  []*Worker
-	byLater []*Worker // by the room expected within gatherMs; nil until needed
+	byLater []*Worker // by CPU expected to be free after horizonMs; nil until needed
 }
 
-// indexOf returns the workers of a pool that may be given work at all.
+// indexOf returns the index of a worker pool, building it at its first use in a
+// plan.
 func (p *Planner) indexOf(service string, plan *Plan, now Instant) *index {
 	if ix := plan.indexes[service]; ix != nil {
 		return ix
@@ -41,7 +42,8 @@
 	return ix
 }
 
-// later returns the workers in the order of the room that they will have.
+// expectedOrder returns the workers in descending order of the CPU expected to be
+// free after horizonMs.
 func (ix *index) later(now Instant) []*Worker {
 	if ix.byLater != nil {
 		return ix.byLater
@@ -54,19 +56,19 @@
 	return ix.byLater
 }
 
-// available reports whether a worker may be given work at all.
+// available reports whether a worker accepts new tasks, capacity aside.
 func (p *Planner) available(w *Worker, now Instant) bool {
 	return w.present && w.listed && w.contact && !w.Draining && now.Ms >= w.penalty && !p.view.Closed[w.Az] &&
 		p.trust.State(w.ID, now.Ms) != trust.Quarantined
 }
 
-// suits reports whether a worker of the part's pool could run it: it has the
-// label, and is not kept for another part.
+// suits reports whether a worker of the step's pool has the label that the step
+// needs and is not reserved for another step instance.
 func (p *Planner) suits(w *Worker, pt *part, now Instant) bool {
 	s := pt.spec()
 	return (s.Needs == "" || w.hasLabel(s.Needs)) && !w.keptFrom(pt, p.queue(pt).Priority, now)
 }
 
-// tooSmall reports whether neither the worker nor those after it in the order of
-// an index have processor time for a task of the size.
+// lacksCPU reports whether a worker, and so all workers after it in the index,
+// have too little free CPU for a task.
 func tooSmall(w *Worker, size jobs.Size) bool { return w.indexedCPU < size.CPU }
