--- a/internal/cell/sched/batch.go
+++ b/internal/cell/sched/batch.go
@@ -1,33 +1,36 @@
 package sched
 
-// Batch is a set of records to append, with what becomes true when they are
-// stored.
+// Batch is a set of records to append, with the changes that Stored makes after
+// the append.
 type Batch struct {
 	Keys     []string
 	Values   [][]byte
-	Accepted []string
-	Complete bool // nothing that was due is left out
+	Accepted []string // IDs of the accepted jobs
+	Complete bool     // it contains all pending records
 	verdicts map[string]Verdict
-	seen     map[string]seenMark
+	seen     map[string]seenMark // by worker
 }
 
+// endMark is the number of the last end applied in an incarnation of a worker.
 type seenMark struct {
 	born int64
 	n    int64
 }
 
-// Empty reports whether there is nothing to append.
+// Empty reports whether the batch has no records.
 func (b *Batch) Empty() bool { return len(b.Keys) == 0 }
 
-// maxBatchBytes bounds one append; the store takes 2 MB a call.
+// maxBatchBytes is the size from which a batch takes no more records. The store
+// takes 2 MB a call.
 const maxBatchBytes = 1 << 20
 
-// Dirty reports whether there is progress or an acceptance to store.
+// Dirty reports whether progress or accepted jobs have to be stored.
 func (p *Planner) Dirty() bool {
 	return len(p.dirty) > 0 || len(p.fresh) > 0
 }
 
-// TakeDirty returns the records that are due.
+// TakeDirty returns a batch of the records that have to be stored: accepted jobs,
+// then progress, then deletions of jobs whose retention has ended.
 func (p *Planner) TakeDirty(now Instant) (*Batch, error) {
 	b := &Batch{verdicts: map[string]Verdict{}, seen: map[string]seenMark{}}
 	size := 0
@@ -52,7 +55,7 @@
 	}
 	for id := range p.dirty {
 		if size >= maxBatchBytes {
-			return b, nil // ends are not marked as seen before all of them are stored
+			return b, nil // ends are acknowledged only after all progress is stored
 		}
 		delete(p.dirty, id)
 		j := p.state.Jobs[id]
@@ -83,7 +86,7 @@
 	return b, nil
 }
 
-// Stored takes note that the records of a batch are stored.
+// Stored is called after the records of a batch have been stored.
 func (p *Planner) Stored(b *Batch) {
 	for _, id := range b.Accepted {
 		p.known[id] = true
@@ -98,7 +101,8 @@
 	}
 }
 
-// Seen returns the number up to which a worker may forget its ends.
+// Seen returns the number of the last stored end of a worker. The worker may
+// delete its ends up to that number.
 func (p *Planner) Seen(id string) int64 {
 	if w := p.workers[id]; w != nil {
 		return w.stored
--- a/internal/cell/sched/report.go
+++ b/internal/cell/sched/report.go
@@ -6,17 +6,17 @@
 	"lagooncourse/internal/cell/trust"
 )
 
-// Outcome is what came of an order to start a run.
+// Outcome is the result of a start.
 type Outcome uint8
 
-// The outcomes.
+// Outcomes of a start.
 const (
-	StartUp       Outcome = iota // the worker has confirmed it
-	StartRefused                 // nothing was done
-	StartNoTicket                // refused for its ticket
-	StartNoRoom                  // refused for want of room
-	StartOld                     // refused: a run with this number or a higher one has ended there
-	StartUnknown                 // no answer; it may happen yet
+	StartUp       Outcome = iota // the worker has confirmed the run
+	StartRefused                 // refused without effect
+	StartNoTicket                // refused because of its ticket
+	StartNoRoom                  // refused for lack of capacity
+	StartOld                     // refused: a run with this or a higher number has ended there
+	StartUnknown                 // no reply; the run may still start
 )
 
 // String returns the outcome's name.
@@ -24,13 +24,13 @@
 	return [...]string{"up", "refused", "noTicket", "noRoom", "old", "unknown"}[o]
 }
 
-// Pauses after refusals.
+// Backoff of a worker after a refused start.
 const (
-	busyPauseMs = 500 // a worker that is overloaded or unhealthy
-	roomPauseMs = 200 // a worker that has less room than it seems
+	busyPauseMs = 500 // the worker is overloaded or unhealthy
+	roomPauseMs = 200 // the worker has less free capacity than the planner computed
 )
 
-// Started takes the outcome of a start.
+// Started handles the outcome of a start.
 func (p *Planner) Started(s Start, o Outcome, now Instant) {
 	w := p.workers[s.Worker]
 	b := p.bookingOf(w, s)
@@ -67,7 +67,8 @@
 	p.breakGang(s.Ref)
 }
 
-// breakGang stops the other members of a gang of which one did not start.
+// breakGang stops the placed members of a gang after a member has failed to
+// start or has ended without success. It ignores tasks that are not in a gang.
 func (p *Planner) breakGang(r Ref) {
 	j := p.state.Jobs[r.Job]
 	if j == nil || !j.Spec.Steps[r.Step].Gang {
@@ -80,8 +81,8 @@
 	}
 }
 
-// StopDenied takes note that a worker has confirmed a stop at the instant
-// confirmed: a list that was asked for later tells whether the run exists.
+// StopDenied is called when a worker has confirmed a stop. A list requested
+// after now shows whether the run still exists.
 func (p *Planner) StopDenied(s Stop, now Instant) {
 	w := p.workers[s.Worker]
 	if w == nil {
@@ -92,7 +93,7 @@
 	}
 }
 
-// SetWorker takes an entry of the registry.
+// SetWorker adds or updates a worker from its registry entry.
 func (p *Planner) SetWorker(info WorkerInfo, now Instant) {
 	w := p.workers[info.ID]
 	if w == nil {
@@ -109,15 +110,15 @@
 	w.present = true
 }
 
-// DropWorker takes note that the registry has no entry for a worker any more.
+// DropWorker is called when the registry entry of a worker was deleted.
 func (p *Planner) DropWorker(id string) {
 	if w := p.workers[id]; w != nil {
 		w.present = false
 	}
 }
 
-// Targets returns the workers that are to be kept in contact: those that the
-// registry lists and those that may still run something.
+// Targets returns the workers whose leases are to be renewed, by ID: those with
+// a registry entry and those with allocations.
 func (p *Planner) Targets() []WorkerInfo {
 	var list []WorkerInfo
 	for _, w := range p.workers {
@@ -129,7 +130,7 @@
 	return list
 }
 
-// Worker returns what the registry says about a worker that is in use.
+// Worker returns the registry entry of a worker that Targets would return.
 func (p *Planner) Worker(id string) (WorkerInfo, bool) {
 	w := p.workers[id]
 	if w == nil || w.Addr == "" || !w.present && len(w.runs) == 0 {
@@ -138,7 +139,7 @@
 	return w.WorkerInfo, true
 }
 
-// Applied returns the highest number of an end of the worker that was applied.
+// Applied returns the number of the last end of a worker that was applied.
 func (p *Planner) Applied(id string) int64 {
 	if w := p.workers[id]; w != nil {
 		return w.seen
@@ -146,16 +147,17 @@
 	return 0
 }
 
-// reborn takes note of a new incarnation, which runs nothing of before. Its
-// clock has started anew, so a lease that was reckoned by the old clock may be
-// the longest that it grants.
+// newIncarnation handles a restart of a worker, which has ended all its runs.
+// Its clock has restarted too, so a renewal that was computed for the old clock
+// may have got the longest lease that the worker grants.
 func (p *Planner) reborn(w *Worker, born int64, now Instant) {
 	w.sureMs = max(w.sureMs, now.Ms+p.longestBound())
 	w.Born, w.seen, w.stored, w.listed = born, 0, 0, false
 	p.loseAll(w, now, func(*booking) bool { return true })
 }
 
-// loseAll ends the bookings that match as lost, and reports whether any did.
+// loseRuns releases and requeues the runs that match, and reports whether there
+// were any.
 func (p *Planner) loseAll(w *Worker, now Instant, match func(*booking) bool) (any bool) {
 	for ref, b := range w.runs {
 		if !match(b) {
@@ -169,16 +171,15 @@
 	return any
 }
 
-// Renewing takes note that a call that renews the worker's lease is about to be
-// sent.
+// Renewing is called before a call that renews the lease of a worker is sent.
 func (p *Planner) Renewing(id string, now Instant) {
 	if w := p.workers[id]; w != nil {
 		w.sureMs = max(w.sureMs, now.Ms+p.leaseBound())
 	}
 }
 
-// Unanswered takes note of a call without an answer. It reports whether the
-// worker had answered the one before.
+// Unanswered is called when a call to a worker got no reply. It reports whether
+// the worker was reachable before.
 func (p *Planner) Unanswered(id string) (lostContact bool) {
 	w := p.workers[id]
 	if w == nil {
@@ -189,7 +190,8 @@
 	return lostContact
 }
 
-// Tick gives up what is surely lost, and returns the workers given up.
+// Tick requeues the runs of unreachable workers whose lease has expired. It
+// returns the workers that had such runs.
 func (p *Planner) Tick(now Instant) (lost []string) {
 	for id, w := range p.workers {
 		if w.contact || now.Ms < w.sureMs {
@@ -205,19 +207,18 @@
 	return lost
 }
 
-// Lists is what a worker has answered to a call that was sent at the instant
-// SentMs.
+// Lists is the reply of a worker to a call that was sent at SentMs.
 type Lists struct {
 	SentMs   int64
-	Born     int64
+	Born     int64 // incarnation of the worker
 	Running  []Running
 	Finished []Finished
 }
 
-// maxFinished is how many ends a worker lists at a time.
+// maxFinished is the maximum number of ends in one reply.
 const maxFinished = 500
 
-// Listed takes the lists of a worker.
+// Listed handles the lists of a worker.
 func (p *Planner) Listed(id string, l Lists, now Instant) {
 	w := p.workers[id]
 	if w == nil {
@@ -236,8 +237,9 @@
 		p.loseAll(w, now, func(b *booking) bool { return b.phase == phaseAdopted && p.bornOf(b) != 0 && p.bornOf(b) != l.Born })
 	}
 	if !w.listed {
-		// Fenced: an earlier owner renews no more, but may have reckoned by the
-		// clock of an earlier incarnation.
+		// The worker is fenced: a previous owner can't renew its lease again, but
+		// its last renewal may have been computed for the clock of an earlier
+		// incarnation.
 		w.sureMs = now.Ms + p.longestBound()
 	}
 	w.listed, w.contact = true, true
@@ -251,7 +253,7 @@
 	p.checkRunning(w, l, now)
 }
 
-// bornOf returns the incarnation for which a run was placed.
+// incarnationOf returns the worker incarnation on which a run was placed.
 func (p *Planner) bornOf(b *booking) int64 {
 	if j := p.state.Jobs[b.ref.Job]; j != nil {
 		if t := j.task(b.ref); t != nil {
@@ -261,7 +263,9 @@
 	return 0
 }
 
-// checkRunning compares what runs with what is booked.
+// checkRunning compares the runs that a worker lists with its allocations. Runs
+// that are missing from the list are requeued if a stop was confirmed or they
+// were adopted, and stopped if the worker had confirmed their start.
 func (p *Planner) checkRunning(w *Worker, l Lists, now Instant) {
 	there := make(map[Ref]bool, len(l.Running))
 	for _, r := range l.Running {
@@ -273,7 +277,7 @@
 		p.running(w, ref, r)
 	}
 	if len(l.Finished) >= maxFinished {
-		return
+		return // the missing runs may have ends that do not fit into this reply
 	}
 	for ref, b := range w.runs {
 		if there[ref] || b.sinceMs >= l.SentMs {
@@ -290,7 +294,8 @@
 	}
 }
 
-// running takes one entry of the list of what runs.
+// applyRunning handles one entry of the list of active runs. It stops runs that
+// have no allocation or whose job has ended.
 func (p *Planner) running(w *Worker, ref Ref, r Running) {
 	b := w.runs[ref]
 	if b == nil || b.run != r.Run {
@@ -311,7 +316,7 @@
 	}
 }
 
-// finished takes one end.
+// applyFinished handles the end of a run.
 func (p *Planner) finished(w *Worker, f Finished, now Instant) {
 	ref, ok := ParseRef(f.Task)
 	if !ok {
@@ -345,14 +350,16 @@
 	p.refresh(j, now)
 }
 
-// judge tells the record of the worker's ends about one that speaks of it.
+// recordTrust adds a success or failure to the trust record of a worker. Other
+// ends do not indicate whether the worker is faulty.
 func (p *Planner) judge(w *Worker, ref Ref, f Finished, now Instant) {
 	if f.How == EndDone || f.How == EndFailed {
 		p.trust.Note(trust.End{Worker: w.ID, Job: ref.Job, OK: f.How == EndDone, AtMs: now.Ms})
 	}
 }
 
-// save keeps a checkpoint; that of one member is valid for the whole gang.
+// saveCheckpoint stores a checkpoint of a task. The checkpoint of one gang member
+// is valid for the whole gang.
 func (p *Planner) save(j *Job, ref Ref, saved string) {
 	if !j.Spec.Steps[ref.Step].Gang {
 		j.task(ref).Saved = saved
@@ -364,7 +371,7 @@
 	}
 }
 
-// settle changes the task's state by the end of its newest run.
+// settle updates the state of a task after the end of its latest run.
 func (p *Planner) settle(j *Job, ref Ref, t *Task, f Finished, now Instant) {
 	s := j.Spec.Steps[ref.Step]
 	switch {
@@ -385,7 +392,8 @@
 	}
 }
 
-// fail counts a failed run; a gang counts each run once.
+// countFailure counts a failed run and fails the job when a task has used up its
+// attempts. A gang counts one failure for each of its runs.
 func (p *Planner) fail(j *Job, ref Ref, t *Task, f Finished, now Instant) {
 	s := j.Spec.Steps[ref.Step]
 	t.State = Waiting
