--- a/internal/cell/sched/late.go
+++ b/internal/cell/sched/late.go
@@ -5,24 +5,25 @@
 	"sort"
 )
 
-// Late says why a part still waits: for each reason, how many workers.
+// Late explains why a step instance is still waiting. Unusable to NoTicket count
+// the workers that are ruled out for each reason.
 type Late struct {
 	Step      string
 	WaitMs    int64
-	Idle      int // tasks that wait
-	Unusable  int // gone, silent, draining, distrusted, of another service or without the label
-	Unasked   int // advice has not been asked about them
-	Denied    int // advice does not allow them
-	NoRoom    int
-	NoTicket  int
-	Slots     int // tasks that could start now
-	OverLimit bool
-	Asked     bool // a question for advice is under way
-	Kept      int  // workers kept for this part, a gang
+	Idle      int  // waiting tasks
+	Unusable  int  // unregistered, unreachable, draining, quarantined, in a closed zone, of another pool or without the label
+	Unasked   int  // no advice about them
+	Denied    int  // denied by advice
+	NoRoom    int  // without free capacity
+	NoTicket  int  // allowed, but the ticket has expired
+	Slots     int  // tasks that could start now
+	OverLimit bool // the team's quota does not cover all waiting tasks
+	Asked     bool // an advice request has no reply yet
+	Kept      int  // workers reserved for this gang
 }
 
-// Late explains up to most parts that have waited for longer than afterMs, the
-// oldest first.
+// Late explains up to most step instances that have been ready for longer than
+// afterMs, the oldest first.
 func (p *Planner) Late(afterMs int64, most int, now Instant) []Late {
 	var list []*part
 	for _, pt := range p.waiting {
@@ -38,6 +39,8 @@
 	return out
 }
 
+// explain counts, for a step instance, the workers by the reason that rules them
+// out.
 func (p *Planner) explain(pt *part, now Instant) Late {
 	_, idle := count(pt.tasks())
 	e := Late{Step: pt.name(), WaitMs: now.Ms - pt.readyMs, Idle: idle, Asked: pt.advice.asked > 0}
@@ -68,7 +71,8 @@
 	return e
 }
 
-// Describe returns a job's progress and where its tasks are booked, for people.
+// Describe returns the progress and the allocations of a job as text for
+// debugging.
 func (p *Planner) Describe(id string) string {
 	j := p.state.Jobs[id]
 	if j == nil {
@@ -82,7 +86,7 @@
 				out += fmt.Sprintf("\n%s state %d run %d fails %d worker %q", ref, t.State, t.Run, t.Fails, t.Worker)
 				if w := p.workers[t.Worker]; w != nil && w.runs[ref] != nil {
 					b := w.runs[ref]
-					out += fmt.Sprintf(" booked run %d phase %d stopping %v", b.run, b.phase, b.stopping)
+					out += fmt.Sprintf(" allocated run %d phase %d stopping %v", b.run, b.phase, b.stopping)
 				}
 			}
 		}
--- a/internal/cell/sched/learn.go
+++ b/internal/cell/sched/learn.go
@@ -2,18 +2,19 @@
 
 import "math"
 
-// Run times are learned in two ways: as the mean of what tasks of one image
-// took, and as the declared estimate times a factor. Declared estimates are
-// good for some queues and off by up to 90% for others, so for each queue the
-// way counts that has been closer lately.
+// There are two estimates of a run time: the mean run time of the image, and the
+// declared estimate times a correction factor of the queue. Declared estimates
+// are accurate in some queues and off by up to 90% in others. Each queue uses
+// the estimate that had the smaller recent error.
 
-// mean is a running mean that weighs recent samples more.
+// mean is an exponentially weighted moving average.
 type mean struct {
 	value   float64
 	samples int
 }
 
-// recentWeight is the weight of a new sample once there are many.
+// minSampleWeight is the least weight of a new sample. The first samples weigh
+// more.
 const recentWeight = 0.1
 
 func (m *mean) add(x float64) {
@@ -21,34 +22,34 @@
 	m.value += max(recentWeight, 1/float64(m.samples)) * (x - m.value)
 }
 
-// enoughSamples is how many samples a mean needs before it counts.
+// minSamples is the number of samples from which a mean is used.
 const enoughSamples = 3
 
-// runKey names tasks that behave alike.
+// imageKey identifies tasks with similar run times.
 type runKey struct {
 	queue string
 	image string
 }
 
-// queueTimes is what a queue's run times have taught.
+// queueStats holds the run time statistics of a queue.
 type queueTimes struct {
-	factor   mean // run time against the declared estimate
-	estError mean // of the estimate times the factor, as a logarithm
-	imgError mean // of the image's mean, as a logarithm
+	factor   mean // run time divided by the declared estimate
+	estError mean // log error of the declared estimate times the factor
+	imgError mean // log error of the image's mean
 }
 
-// learned holds run times and how fast workers are.
+// estimator estimates run times and the slowdown of workers.
 type learned struct {
 	queues map[string]*queueTimes
 	images map[runKey]*mean
-	speed  map[string]*mean // worker -> run time against what was expected
+	speed  map[string]*mean // by worker: run time divided by the expected run time
 }
 
 func newLearned() learned {
 	return learned{queues: map[string]*queueTimes{}, images: map[runKey]*mean{}, speed: map[string]*mean{}}
 }
 
-// times returns what is known of a queue.
+// stats returns the statistics of a queue, creating them if necessary.
 func (l learned) times(queue string) *queueTimes {
 	q := l.queues[queue]
 	if q == nil {
@@ -58,7 +59,7 @@
 	return q
 }
 
-// runMs estimates how long a task of the step runs, in ms.
+// runMs estimates the run time of a task of the step, in ms.
 func (l learned) runMs(queue string, s Step) int64 {
 	byEstimate, byImage := l.both(queue, s)
 	q := l.times(queue)
@@ -68,7 +69,7 @@
 	return int64(byEstimate)
 }
 
-// both returns both estimates; that of the image is 0 while there is none.
+// estimates returns both estimates, in ms. byImage is 0 if it has too few samples.
 func (l learned) both(queue string, s Step) (byEstimate, byImage float64) {
 	byEstimate = float64(s.EstimateMs)
 	if q := l.times(queue); q.factor.samples >= enoughSamples {
@@ -80,14 +81,14 @@
 	return byEstimate, byImage
 }
 
-// Bounds of one sample of a worker's speed, so that a single odd run does not
-// decide.
+// Limits of a sample of a worker's slowdown, so that a single outlier does not
+// dominate the mean.
 const (
 	leastSpeed = 0.25
 	mostSpeed  = 8
 )
 
-// learnRun takes the run time of a task that was done on a worker.
+// recordRun adds the run time of a completed task to the statistics.
 func (l learned) learnRun(queue, worker string, s Step, ms int64) {
 	took := float64(max(ms, 1))
 	byEstimate, byImage := l.both(queue, s)
@@ -114,11 +115,11 @@
 	l.images[key].add(took)
 }
 
-// slowClasses is how many classes of speed there are.
+// slowdownClasses is the number of slowdown classes.
 const slowClasses = 4
 
-// slowness puts a worker into one of a few classes by its speed: 0 for one that
-// is as fast as others, up to 3 for one that hardly works.
+// slowdownClass returns the slowdown class of a worker, from 0 for normal speed to
+// 3 for a slowdown of 3 or more.
 func (l learned) slowness(worker string) int {
 	m := l.speed[worker]
 	if m == nil || m.samples < enoughSamples {
--- a/internal/cell/sched/status.go
+++ b/internal/cell/sched/status.go
@@ -1,9 +1,9 @@
 package sched
 
-// Status is a job's state as callers see it.
+// Status is the state of a job as the API reports it.
 type Status string
 
-// The states.
+// Job states.
 const (
 	StatusQueued    Status = "queued"
 	StatusRunning   Status = "running"
@@ -12,8 +12,8 @@
 	StatusCancelled Status = "cancelled"
 )
 
-// Status returns the state of a job whose acceptance is stored. An end is
-// shown only once it is stored.
+// Status returns the state of a job. It returns false for a job whose acceptance
+// is not stored yet, and reports an end only once it is stored.
 func (p *Planner) Status(id string) (Status, bool) {
 	j := p.state.Jobs[id]
 	if j == nil || !p.known[id] {
@@ -33,7 +33,7 @@
 	return StatusQueued, true
 }
 
-// Job returns the spec of a known job.
+// Job returns the spec of a job.
 func (p *Planner) Job(id string) (Spec, bool) {
 	j := p.state.Jobs[id]
 	if j == nil {
@@ -42,8 +42,8 @@
 	return j.Spec, true
 }
 
-// Pending counts the accepted jobs of a queue of which no task has started: an
-// order that a worker has not confirmed is no start.
+// Pending counts the accepted jobs of a queue without a run that a worker has
+// confirmed.
 func (p *Planner) Pending(queue string) int {
 	n := 0
 	for id, j := range p.state.Jobs {
