--- a/internal/cell/sched/load_test.go
+++ b/internal/cell/sched/load_test.go
@@ -10,13 +10,13 @@
 	"lagooncourse/internal/cell/jobs"
 )
 
-// noDesks never takes a question.
+// noHosts has no free host for advice requests.
 type noDesks struct{}
 
 func (noDesks) Idle() bool                  { return false }
 func (noDesks) Take(float64) (string, bool) { return "", false }
 
-// fleet returns a planner with n workers of 32 cores that are all in contact.
+// fleet returns a planner with n reachable workers of 32 cores.
 func fleet(n int, now Instant) *Planner {
 	p := NewPlanner(Config{State: NewState(), LeaseMs: 8_000, KeepMs: 60_000}, now)
 	p.SetView(View{Queues: map[string]Queue{
@@ -31,8 +31,9 @@
 	return p
 }
 
-// TestNoStarvation was seen as LOST 668 on fwl-numbering-grown, trouble-3: more
-// parts without room than one plan looks at stood before those with room.
+// TestNoStarvation guards against starvation behind step instances that fit
+// nowhere: if more of them than one plan tries come first in the order, the
+// steps that do fit must still start.
 func TestNoStarvation(t *testing.T) {
 	now := Instant{Ms: 1000, Wall: 1000}
 	p := fleet(2, now)
@@ -50,8 +51,8 @@
 	assert.Equal(t, starts[0].Ref.Job, "b")
 }
 
-// TestUrgentUnderLoad plays twice the load that fits, half of it urgent: urgent
-// work is placed within 20 ms of a slot becoming free, and most of it in time.
+// TestUrgentUnderLoad simulates twice the load that the fleet can run, half of it
+// urgent. At least 90% of the urgent jobs must meet their deadline.
 func TestUrgentUnderLoad(t *testing.T) {
 	now := Instant{Ms: 1000, Wall: 1000}
 	p := fleet(4, now)
@@ -65,7 +66,7 @@
 	const stepMs, seconds = 5, 20
 	for tick := range seconds * 1000 / stepMs {
 		now.Ms, now.Wall = now.Ms+stepMs, now.Wall+stepMs
-		if tick%20 == 0 { // 10 a second of each
+		if tick%20 == 0 { // 10 jobs a second in each queue
 			for _, q := range []string{"urgent", "wide"} {
 				spec := Spec{ID: fmt.Sprintf("%s%05d", q, tick), Queue: q, AtMs: now.Wall, Steps: []Step{{Count: 2, Size: jobs.Size{CPU: 8_000}, EstimateMs: 800}}}
 				p.Accept(spec, now)
@@ -105,7 +106,7 @@
 	assert.NilError(t, p.Audit())
 }
 
-// BenchmarkPlan measures what a placement costs at three sizes of a fleet.
+// BenchmarkPlan measures the placement of one task at three fleet sizes.
 func BenchmarkPlan(b *testing.B) {
 	for _, n := range []int{48, 350, 3200} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -124,8 +125,8 @@
 	}
 }
 
-// TestLargeBatch has more acceptances than one append carries: none is taken
-// for stored before its record is.
+// TestLargeBatch accepts more jobs than fit into one batch. All of them must be
+// in some batch, and only the last batch may be complete.
 func TestLargeBatch(t *testing.T) {
 	now := Instant{Ms: 1000, Wall: 1000}
 	p := NewPlanner(Config{State: NewState(), LeaseMs: 8_000, KeepMs: 60_000}, now)
@@ -150,14 +151,14 @@
 	}
 }
 
-// allDesks takes every question.
+// allHosts always has a free host for advice requests.
 type allDesks struct{}
 
 func (allDesks) Idle() bool                  { return true }
 func (allDesks) Take(float64) (string, bool) { return "d", true }
 
-// backlog returns a planner whose fleet is full, with n gangs, n wide steps and n
-// urgent jobs that wait.
+// backlog returns a planner with n waiting jobs of each kind: gangs, wide steps
+// and urgent jobs.
 func backlog(workers, n int, now Instant) *Planner {
 	p := fleet(workers, now)
 	p.SetView(View{Queues: map[string]Queue{
@@ -177,8 +178,8 @@
 	return p
 }
 
-// BenchmarkBacklog measures a plan while a fleet is full and work of all kinds
-// waits.
+// BenchmarkBacklog measures a plan while the fleet is full and jobs of all kinds
+// wait.
 func BenchmarkBacklog(b *testing.B) {
 	for _, n := range []int{48, 350, 3200} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/cell/sched/rules_test.go
+++ b/internal/cell/sched/rules_test.go
@@ -15,8 +15,8 @@
 	"lagooncourse/internal/cell/jobs"
 )
 
-// script plays one file of testdata: a line is a command, "->" begins what it
-// has to print. Instants are in milliseconds.
+// script runs one file of testdata. Each line is a command; "->" is followed by
+// its expected output. Times are in milliseconds.
 type script struct {
 	t       *testing.T
 	p       *Planner
@@ -24,7 +24,7 @@
 	starts  []Start
 	view    View
 	wants   []Want
-	desks   int // free ones
+	desks   int // free hosts for advice requests
 	records [][2]string
 }
 
@@ -60,7 +60,7 @@
 	}
 }
 
-// Idle and Take make the script its planner's desks.
+// Idle and Take implement Desks.
 func (s *script) Idle() bool { return s.desks > 0 }
 
 func (s *script) Take(float64) (string, bool) {
@@ -68,7 +68,7 @@
 	return "d", s.desks >= 0
 }
 
-// open starts an owner from the records.
+// newOwner starts a new owner from the stored records.
 func (s *script) open() {
 	state := NewState()
 	for _, r := range s.records {
@@ -94,7 +94,7 @@
 	return n
 }
 
-// do runs one command and returns what it prints.
+// do runs one command and returns its output.
 func (s *script) do(f []string) string {
 	a := args(f[1:])
 	switch f[0] {
@@ -161,7 +161,7 @@
 	s.p.Accept(spec, s.now)
 }
 
-// plan prints the starts and questions of a plan.
+// plan returns the starts and advice requests of a plan.
 func (s *script) plan() string {
 	s.p.Tick(s.now)
 	plan := s.p.Plan(s, s.now)
@@ -179,7 +179,7 @@
 	return strings.Join(out, " ")
 }
 
-// store appends what is due and prints the starts that may be sent.
+// store stores the pending records and returns the released starts.
 func (s *script) store() string {
 	b, err := s.p.TakeDirty(s.now)
 	assert.NilError(s.t, err)
@@ -197,7 +197,7 @@
 	return strings.Join(out, " ")
 }
 
-// allow answers the oldest question with the workers that are allowed.
+// allow replies to the oldest advice request of a step with the allowed workers.
 func (s *script) allow(step string, ids []string) string {
 	for i, w := range s.wants {
 		if w.Step != step {
@@ -212,10 +212,10 @@
 		s.p.Advised(w, tickets, true, s.now.Ms, s.now)
 		return ""
 	}
-	return "nobody asked"
+	return "no advice request"
 }
 
-// report takes what workers say.
+// report runs the commands for replies of workers, cancellations and queries.
 func (s *script) report(f []string, a map[string]string) string {
 	switch f[0] {
 	case "up", "refused", "unknown", "noroom":
@@ -262,7 +262,8 @@
 	return ""
 }
 
-// list takes a worker's lists: run:TASK:RUN and end:N:TASK:RUN:HOW, and born=N.
+// list passes a worker's lists to the planner. The items are run:TASK:RUN,
+// end:N:TASK:RUN:HOW and born=N.
 func (s *script) list(id string, items []string) {
 	l := Lists{SentMs: s.now.Ms + 1, Born: 1}
 	for _, it := range items {
