--- a/internal/cell/sched/advice.go
+++ b/internal/cell/sched/advice.go
@@ -3,39 +3,39 @@
 // grant is the answer of the advice service about a worker and a step. Whether
 // the worker is allowed does not change, but its ticket expires.
 type grant struct {
-	allowed bool
-	ticket  string
-	untilMs int64
-	born    int64 // worker incarnation for which the ticket is valid
+	allowed     bool
+	ticket      string
+	untilMs     int64
+	incarnation int64 // worker incarnation for which the ticket is valid
 }
 
 // adviceState holds the advice received for a step instance.
 type adviceState struct {
-	grants map[string]grant // by worker
-	asked  int              // requests without a reply
-	askMs  int64            // no further request before this time
+	grants        map[string]grant // by worker
+	requested     int              // requests without a reply
+	nextRequestMs int64            // no further request before this time
 }
 
 // allowedShare is a moving average of the share of workers that advice allows.
-type ratio struct{ mean float64 }
+type allowedShare struct{ mean float64 }
 
 // Limits of advice requests.
 const (
-	leastRatio  = 0.05 // limits the size of requests after a series of denials
-	firstRatio  = 0.4  // of a queue without replies
-	ratioWeight = 0.1  // weight of a new sample in the moving average
-	askMargin   = 1.3  // factor on the number of workers needed on average
-	leastAsk    = 4    // smaller requests cost nearly as much, and often allow too few workers
-	mostAsk     = 100  // limit of the advice service
-	retryAskMs  = 100  // delay after a failed request
-	ticketEdge  = 80   // time for a start to arrive before its ticket expires
-	dearAskMs   = 200  // base cost from which a request takes as many workers as it may
-	dearAskMost = 32   // workers in one costly request
+	minAllowedShare     = 0.05 // limits the size of requests after a series of denials
+	initialAllowedShare = 0.4  // of a queue without replies
+	allowedShareWeight  = 0.1  // weight of a new sample in the moving average
+	requestMargin       = 1.3  // factor on the number of workers needed on average
+	minRequestWorkers   = 4    // smaller requests cost nearly as much, and often allow too few workers
+	maxRequestWorkers   = 100  // limit of the advice service
+	requestRetryMs      = 100  // delay after a failed request
+	ticketMarginMs      = 80   // time for a start to arrive before its ticket expires
+	costlyBaseMs        = 200  // base cost from which a request takes as many workers as it may
+	costlyMaxWorkers    = 32   // workers in one costly request
 )
 
 // Want is a request to the advice service about one step instance.
 type Want struct {
-	Part    partKey
+	StepKey stepKey
 	Step    string // JOB.OCC.STEP
 	Workers []string
 	CostMs  float64 // expected response time
@@ -54,19 +54,19 @@
 }
 
 // usable reports whether the worker may run tasks of the step, capacity aside.
-func (p *Planner) usable(w *Worker, pt *part, now Instant) bool {
-	s := pt.spec()
-	return w.Service == p.queue(pt).Service && p.available(w, now) && (s.Needs == "" || w.hasLabel(s.Needs))
+func (p *Planner) usable(w *Worker, si *stepInstance, now Instant) bool {
+	s := si.spec()
+	return w.Service == p.queue(si).Service && p.available(w, now) && (s.Needs == "" || w.hasLabel(s.Needs))
 }
 
 // ticket returns the ticket for a start on the worker. ok is false if a ticket is
 // needed and no valid one is there.
-func (p *Planner) ticket(w *Worker, pt *part, now Instant) (ticket string, ok bool) {
-	if p.queue(pt).Advice == nil {
+func (p *Planner) ticket(w *Worker, si *stepInstance, now Instant) (ticket string, ok bool) {
+	if p.queue(si).Advice == nil {
 		return "", true
 	}
-	g := pt.advice.grants[w.ID]
-	if !g.allowed || g.born != w.Born || now.Ms > g.untilMs-ticketEdge {
+	g := si.advice.grants[w.ID]
+	if !g.allowed || g.incarnation != w.Born || now.Ms > g.untilMs-ticketMarginMs {
 		return "", false
 	}
 	return g.ticket, true
@@ -76,17 +76,17 @@
 // allowed workers have capacity for need tasks, or no other worker has any, the
 // request renews expired tickets. Otherwise it covers workers without advice:
 // those with capacity, fast ones first, or else a few without capacity.
-func (p *Planner) want(pt *part, need int, ix *index, now Instant) (ids []string) {
-	stale, unknown, spare, have := p.asking(pt, need, ix, now)
+func (p *Planner) workersToAsk(si *stepInstance, need int, ix *index, now Instant) (ids []string) {
+	expired, unknown, full, have := p.adviceCandidates(si, need, ix, now)
 	switch {
-	case have < need && len(unknown) > 0, len(stale) == 0 && len(unknown) > 0:
-		ids = p.pick(pt, need-have, unknown)
-	case len(stale) > 0:
-		ids = stale
+	case have < need && len(unknown) > 0, len(expired) == 0 && len(unknown) > 0:
+		ids = p.pickUnknown(si, need-have, unknown)
+	case len(expired) > 0:
+		ids = expired
 	case have == 0:
-		ids = spare
+		ids = full
 	}
-	return ids[:min(len(ids), mostAsk)]
+	return ids[:min(len(ids), maxRequestWorkers)]
 }
 
 // candidate is a worker for an advice request.
@@ -99,46 +99,46 @@
 // expired, the workers without advice that have capacity, by slowdown class, a
 // few without advice and without capacity, and the number of tasks for which
 // the allowed workers have capacity.
-func (p *Planner) asking(pt *part, need int, ix *index, now Instant) (stale []string, unknown []candidate, spare []string, have int) {
-	size := pt.spec().charge()
-	var classes [slowClasses][]candidate
+func (p *Planner) adviceCandidates(si *stepInstance, need int, ix *index, now Instant) (expired []string, unknown []candidate, full []string, have int) {
+	size := si.spec().demand()
+	var classes [slowdownClasses][]candidate
 	for _, w := range ix.byFree {
-		if tooSmall(w, size) && len(spare) >= leastAsk {
+		if lacksCPU(w, size) && len(full) >= minRequestWorkers {
 			break
 		}
-		asked, ok := p.prospective(pt, w, now)
+		requested, ok := p.mayRun(si, w, now)
 		if !ok {
 			continue
 		}
-		n := p.roomFor(pt, w, need, now)
+		n := p.slotsFor(si, w, need, now)
 		switch {
-		case asked && n > 0:
+		case requested && n > 0:
 			have += n
-			if _, ok := p.ticket(w, pt, now); !ok {
-				stale = append(stale, w.ID)
+			if _, ok := p.ticket(w, si, now); !ok {
+				expired = append(expired, w.ID)
 			}
-		case !asked && n > 0:
-			class := p.learned.slowness(w.ID)
+		case !requested && n > 0:
+			class := p.estimator.slowdownClass(w.ID)
 			classes[class] = append(classes[class], candidate{w.ID, n})
-		case !asked && len(spare) < leastAsk && slots(w.Capacity, size, 1) > 0:
-			spare = append(spare, w.ID)
+		case !requested && len(full) < minRequestWorkers && slots(w.Capacity, size, 1) > 0:
+			full = append(full, w.ID)
 		}
 	}
 	for _, c := range classes {
 		unknown = append(unknown, c...)
 	}
-	return stale, unknown, spare, have
+	return expired, unknown, full, have
 }
 
 // pickUnknown returns as many workers as are likely needed for need tasks. A
 // costly request takes up to costlyMaxWorkers, since a second request would cost
 // nearly as much as the first.
-func (p *Planner) pick(pt *part, need int, unknown []candidate) (ids []string) {
-	dear := p.queue(pt).Advice.BaseMs >= dearAskMs
-	share := p.allowedShare(pt.job.Spec.Queue)
+func (p *Planner) pickUnknown(si *stepInstance, need int, unknown []candidate) (ids []string) {
+	costly := p.queue(si).Advice.BaseMs >= costlyBaseMs
+	share := p.expectedShare(si.job.Spec.Queue)
 	expected := 0.0
 	for i, c := range unknown {
-		if dear && i == dearAskMost || !dear && i >= leastAsk && expected >= askMargin*float64(need) {
+		if costly && i == costlyMaxWorkers || !costly && i >= minRequestWorkers && expected >= requestMargin*float64(need) {
 			break
 		}
 		expected += share * float64(c.slots)
@@ -148,30 +148,30 @@
 }
 
 // expectedShare estimates the share of workers that advice allows for a queue.
-func (p *Planner) allowedShare(queue string) float64 {
-	if r := p.good[queue]; r != nil {
-		return max(r.mean, leastRatio)
+func (p *Planner) expectedShare(queue string) float64 {
+	if avg := p.allowedShares[queue]; avg != nil {
+		return max(avg.mean, minAllowedShare)
 	}
-	return firstRatio
+	return initialAllowedShare
 }
 
 // Advised handles the reply to a request; ok is false if the request failed.
 // Workers without a ticket are denied. The tickets expire ValidMs after issued,
 // a monotonic time in ms.
 func (p *Planner) Advised(w Want, tickets map[string]string, ok bool, issued int64, now Instant) {
-	pt := p.parts[w.Part]
-	if pt == nil {
+	si := p.steps[w.StepKey]
+	if si == nil {
 		return
 	}
-	pt.advice.asked = max(pt.advice.asked-1, 0)
-	pt.restMs, pt.vain = 0, 0
-	pt.advice.askMs = now.Ms + retryAskMs
-	q := p.queue(pt)
+	si.advice.requested = max(si.advice.requested-1, 0)
+	si.retryMs, si.failedTries = 0, 0
+	si.advice.nextRequestMs = now.Ms + requestRetryMs
+	q := p.queue(si)
 	if !ok || q.Advice == nil {
 		return
 	}
-	if pt.advice.grants == nil {
-		pt.advice.grants = map[string]grant{}
+	if si.advice.grants == nil {
+		si.advice.grants = map[string]grant{}
 	}
 	for _, id := range w.Workers {
 		wk := p.workers[id]
@@ -179,18 +179,18 @@
 			continue
 		}
 		t, allowed := tickets[id]
-		pt.advice.grants[id] = grant{allowed: allowed, ticket: t, untilMs: issued + q.Advice.ValidMs, born: wk.Born}
+		si.advice.grants[id] = grant{allowed: allowed, ticket: t, untilMs: issued + q.Advice.ValidMs, incarnation: wk.Born}
 	}
-	pt.advice.askMs = now.Ms
-	p.learn(q.Name, float64(len(tickets))/float64(max(len(w.Workers), 1)))
+	si.advice.nextRequestMs = now.Ms
+	p.recordShare(q.Name, float64(len(tickets))/float64(max(len(w.Workers), 1)))
 }
 
 // recordShare adds a sample to the allowed share of a queue.
-func (p *Planner) learn(queue string, share float64) {
-	r := p.good[queue]
-	if r == nil {
-		p.good[queue] = &ratio{mean: share}
+func (p *Planner) recordShare(queue string, share float64) {
+	avg := p.allowedShares[queue]
+	if avg == nil {
+		p.allowedShares[queue] = &allowedShare{mean: share}
 		return
 	}
-	r.mean += ratioWeight * (share - r.mean)
+	avg.mean += allowedShareWeight * (share - avg.mean)
 }
--- a/internal/cell/sched/batch.go
+++ b/internal/cell/sched/batch.go
@@ -3,18 +3,18 @@
 // Batch is a set of records to append, with the changes that Stored makes after
 // the append.
 type Batch struct {
-	Keys     []string
-	Values   [][]byte
-	Accepted []string // IDs of the accepted jobs
-	Complete bool     // it contains all pending records
-	verdicts map[string]Verdict
-	seen     map[string]seenMark // by worker
+	Keys       []string
+	Values     [][]byte
+	Accepted   []string // IDs of the accepted jobs
+	Complete   bool     // it contains all pending records
+	verdicts   map[string]Verdict
+	appliedSeq map[string]endMark // by worker
 }
 
 // endMark is the number of the last end applied in an incarnation of a worker.
-type seenMark struct {
-	born int64
-	n    int64
+type endMark struct {
+	incarnation int64
+	seq         int64
 }
 
 // Empty reports whether the batch has no records.
@@ -26,13 +26,13 @@
 
 // Dirty reports whether progress or accepted jobs have to be stored.
 func (p *Planner) Dirty() bool {
-	return len(p.dirty) > 0 || len(p.fresh) > 0
+	return len(p.dirty) > 0 || len(p.newSpecs) > 0
 }
 
 // TakeDirty returns a batch of the records that have to be stored: accepted jobs,
 // then progress, then deletions of jobs whose retention has ended.
 func (p *Planner) TakeDirty(now Instant) (*Batch, error) {
-	b := &Batch{verdicts: map[string]Verdict{}, seen: map[string]seenMark{}}
+	b := &Batch{verdicts: map[string]Verdict{}, appliedSeq: map[string]endMark{}}
 	size := 0
 	add := func(key string, value []byte, err error) error {
 		if err != nil {
@@ -42,15 +42,15 @@
 		size += len(key) + len(value)
 		return nil
 	}
-	for len(p.fresh) > 0 && size < maxBatchBytes {
-		s := p.fresh[0]
-		p.fresh = p.fresh[1:]
+	for len(p.newSpecs) > 0 && size < maxBatchBytes {
+		s := p.newSpecs[0]
+		p.newSpecs = p.newSpecs[1:]
 		if err := add(SpecRecord(s)); err != nil {
 			return nil, err
 		}
 		b.Accepted = append(b.Accepted, s.ID)
 	}
-	if len(p.fresh) > 0 {
+	if len(p.newSpecs) > 0 {
 		return b, nil
 	}
 	for id := range p.dirty {
@@ -67,19 +67,19 @@
 		}
 		b.verdicts[id] = j.Progress.Verdict
 	}
-	for len(p.ended) > 0 && now.Ms-p.ended[0].at > p.cfg.KeepMs && size < maxBatchBytes {
+	for len(p.ended) > 0 && now.Ms-p.ended[0].atMs > p.cfg.KeepMs && size < maxBatchBytes {
 		id := p.ended[0].id
 		p.ended = p.ended[1:]
 		for _, key := range DropKeys(id) {
 			_ = add(key, nil, nil)
 		}
 		delete(p.state.Jobs, id)
-		delete(p.durable, id)
-		delete(p.known, id)
+		delete(p.storedVerdicts, id)
+		delete(p.storedJobs, id)
 	}
 	for id, w := range p.workers {
-		if w.seen > w.stored {
-			b.seen[id] = seenMark{w.Born, w.seen}
+		if w.appliedSeq > w.storedSeq {
+			b.appliedSeq[id] = endMark{w.Born, w.appliedSeq}
 		}
 	}
 	b.Complete = true
@@ -89,14 +89,14 @@
 // Stored is called after the records of a batch have been stored.
 func (p *Planner) Stored(b *Batch) {
 	for _, id := range b.Accepted {
-		p.known[id] = true
+		p.storedJobs[id] = true
 	}
 	for id, v := range b.verdicts {
-		p.durable[id] = v
+		p.storedVerdicts[id] = v
 	}
-	for id, m := range b.seen {
-		if w := p.workers[id]; w != nil && w.Born == m.born {
-			w.stored = max(w.stored, m.n)
+	for id, m := range b.appliedSeq {
+		if w := p.workers[id]; w != nil && w.Born == m.incarnation {
+			w.storedSeq = max(w.storedSeq, m.seq)
 		}
 	}
 }
@@ -105,7 +105,7 @@
 // delete its ends up to that number.
 func (p *Planner) Seen(id string) int64 {
 	if w := p.workers[id]; w != nil {
-		return w.stored
+		return w.storedSeq
 	}
 	return 0
 }
--- a/internal/cell/sched/index.go
+++ b/internal/cell/sched/index.go
@@ -15,8 +15,8 @@
 // reduce the free CPU, so the order gives upper bounds and callers check the
 // capacity again.
 type index struct {
-	byFree  []*Worker
-	byLater []*Worker // by CPU expected to be free after horizonMs; nil until needed
+	byFree     []*Worker
+	byExpected []*Worker // by CPU expected to be free after horizonMs; nil until needed
 }
 
 // indexOf returns the index of a worker pool, building it at its first use in a
@@ -44,31 +44,31 @@
 
 // expectedOrder returns the workers in descending order of the CPU expected to be
 // free after horizonMs.
-func (ix *index) later(now Instant) []*Worker {
-	if ix.byLater != nil {
-		return ix.byLater
+func (ix *index) expectedOrder(now Instant) []*Worker {
+	if ix.byExpected != nil {
+		return ix.byExpected
 	}
-	ix.byLater = append(ix.byLater, ix.byFree...)
-	for _, w := range ix.byLater {
-		w.laterRoom = w.roomBy(now.Ms+gatherMs, now)
+	ix.byExpected = append(ix.byExpected, ix.byFree...)
+	for _, w := range ix.byExpected {
+		w.expectedFree = w.freeBy(now.Ms+horizonMs, now)
 	}
-	slices.SortStableFunc(ix.byLater, func(x, y *Worker) int { return cmp.Compare(y.laterRoom.CPU, x.laterRoom.CPU) })
-	return ix.byLater
+	slices.SortStableFunc(ix.byExpected, func(x, y *Worker) int { return cmp.Compare(y.expectedFree.CPU, x.expectedFree.CPU) })
+	return ix.byExpected
 }
 
 // available reports whether a worker accepts new tasks, capacity aside.
 func (p *Planner) available(w *Worker, now Instant) bool {
-	return w.present && w.listed && w.contact && !w.Draining && now.Ms >= w.penalty && !p.view.Closed[w.Az] &&
+	return w.registered && w.listed && w.reachable && !w.Draining && now.Ms >= w.backoffUntilMs && !p.view.Closed[w.Az] &&
 		p.trust.State(w.ID, now.Ms) != trust.Quarantined
 }
 
 // suits reports whether a worker of the step's pool has the label that the step
 // needs and is not reserved for another step instance.
-func (p *Planner) suits(w *Worker, pt *part, now Instant) bool {
-	s := pt.spec()
-	return (s.Needs == "" || w.hasLabel(s.Needs)) && !w.keptFrom(pt, p.queue(pt).Priority, now)
+func (p *Planner) suits(w *Worker, si *stepInstance, now Instant) bool {
+	s := si.spec()
+	return (s.Needs == "" || w.hasLabel(s.Needs)) && !w.reservedFrom(si, p.queue(si).Priority, now)
 }
 
 // lacksCPU reports whether a worker, and so all workers after it in the index,
 // have too little free CPU for a task.
-func tooSmall(w *Worker, size jobs.Size) bool { return w.indexedCPU < size.CPU }
+func lacksCPU(w *Worker, size jobs.Size) bool { return w.indexedCPU < size.CPU }
--- a/internal/cell/sched/late.go
+++ b/internal/cell/sched/late.go
@@ -25,38 +25,38 @@
 // Late explains up to most step instances that have been ready for longer than
 // afterMs, the oldest first.
 func (p *Planner) Late(afterMs int64, most int, now Instant) []Late {
-	var list []*part
-	for _, pt := range p.waiting {
-		if now.Ms-pt.readyMs > afterMs && p.timely(pt, now) {
-			list = append(list, pt)
+	var list []*stepInstance
+	for _, si := range p.waiting {
+		if now.Ms-si.readyMs > afterMs && p.occurrenceDue(si, now) {
+			list = append(list, si)
 		}
 	}
 	sort.Slice(list, func(a, b int) bool { return list[a].readyMs < list[b].readyMs })
 	var out []Late
-	for _, pt := range list[:min(most, len(list))] {
-		out = append(out, p.explain(pt, now))
+	for _, si := range list[:min(most, len(list))] {
+		out = append(out, p.explain(si, now))
 	}
 	return out
 }
 
 // explain counts, for a step instance, the workers by the reason that rules them
 // out.
-func (p *Planner) explain(pt *part, now Instant) Late {
-	_, idle := count(pt.tasks())
-	e := Late{Step: pt.name(), WaitMs: now.Ms - pt.readyMs, Idle: idle, Asked: pt.advice.asked > 0}
-	e.OverLimit = len(p.withinLimit(pt, make([]int, idle))) < idle
-	advised := p.queue(pt).Advice != nil
+func (p *Planner) explain(si *stepInstance, now Instant) Late {
+	_, idle := countTasks(si.tasks())
+	e := Late{Step: si.stepName(), WaitMs: now.Ms - si.readyMs, Idle: idle, Asked: si.advice.requested > 0}
+	e.OverLimit = len(p.withinLimit(si, make([]int, idle))) < idle
+	advised := p.queue(si).Advice != nil
 	for id, w := range p.workers {
-		if w.keeps(pt.key(), now) {
+		if w.reservedFor(si.key(), now) {
 			e.Kept++
 		}
-		g, asked := pt.advice.grants[id]
-		n := p.roomFor(pt, w, idle, now)
-		_, ticket := p.ticket(w, pt, now)
+		g, requested := si.advice.grants[id]
+		n := p.slotsFor(si, w, idle, now)
+		_, ticket := p.ticket(w, si, now)
 		switch {
-		case !p.usable(w, pt, now):
+		case !p.usable(w, si, now):
 			e.Unusable++
-		case advised && !asked:
+		case advised && !requested:
 			e.Unasked++
 		case advised && !g.allowed:
 			e.Denied++
@@ -85,8 +85,8 @@
 				ref := Ref{id, occ, step, i}
 				out += fmt.Sprintf("\n%s state %d run %d fails %d worker %q", ref, t.State, t.Run, t.Fails, t.Worker)
 				if w := p.workers[t.Worker]; w != nil && w.runs[ref] != nil {
-					b := w.runs[ref]
-					out += fmt.Sprintf(" allocated run %d phase %d stopping %v", b.run, b.phase, b.stopping)
+					a := w.runs[ref]
+					out += fmt.Sprintf(" allocated run %d phase %d stopping %v", a.run, a.phase, a.stopping)
 				}
 			}
 		}
--- a/internal/cell/sched/learn.go
+++ b/internal/cell/sched/learn.go
@@ -15,54 +15,54 @@
 
 // minSampleWeight is the least weight of a new sample. The first samples weigh
 // more.
-const recentWeight = 0.1
+const minSampleWeight = 0.1
 
 func (m *mean) add(x float64) {
 	m.samples++
-	m.value += max(recentWeight, 1/float64(m.samples)) * (x - m.value)
+	m.value += max(minSampleWeight, 1/float64(m.samples)) * (x - m.value)
 }
 
 // minSamples is the number of samples from which a mean is used.
-const enoughSamples = 3
+const minSamples = 3
 
 // imageKey identifies tasks with similar run times.
-type runKey struct {
+type imageKey struct {
 	queue string
 	image string
 }
 
 // queueStats holds the run time statistics of a queue.
-type queueTimes struct {
+type queueStats struct {
 	factor   mean // run time divided by the declared estimate
 	estError mean // log error of the declared estimate times the factor
 	imgError mean // log error of the image's mean
 }
 
 // estimator estimates run times and the slowdown of workers.
-type learned struct {
-	queues map[string]*queueTimes
-	images map[runKey]*mean
-	speed  map[string]*mean // by worker: run time divided by the expected run time
+type estimator struct {
+	queues    map[string]*queueStats
+	images    map[imageKey]*mean
+	slowdowns map[string]*mean // by worker: run time divided by the expected run time
 }
 
-func newLearned() learned {
-	return learned{queues: map[string]*queueTimes{}, images: map[runKey]*mean{}, speed: map[string]*mean{}}
+func newEstimator() estimator {
+	return estimator{queues: map[string]*queueStats{}, images: map[imageKey]*mean{}, slowdowns: map[string]*mean{}}
 }
 
 // stats returns the statistics of a queue, creating them if necessary.
-func (l learned) times(queue string) *queueTimes {
-	q := l.queues[queue]
+func (e estimator) stats(queue string) *queueStats {
+	q := e.queues[queue]
 	if q == nil {
-		q = &queueTimes{}
-		l.queues[queue] = q
+		q = &queueStats{}
+		e.queues[queue] = q
 	}
 	return q
 }
 
 // runMs estimates the run time of a task of the step, in ms.
-func (l learned) runMs(queue string, s Step) int64 {
-	byEstimate, byImage := l.both(queue, s)
-	q := l.times(queue)
+func (e estimator) runMs(queue string, s Step) int64 {
+	byEstimate, byImage := e.estimates(queue, s)
+	q := e.stats(queue)
 	if byImage > 0 && (s.EstimateMs == 0 || q.imgError.value < q.estError.value) {
 		return int64(byImage)
 	}
@@ -70,12 +70,12 @@
 }
 
 // estimates returns both estimates, in ms. byImage is 0 if it has too few samples.
-func (l learned) both(queue string, s Step) (byEstimate, byImage float64) {
+func (e estimator) estimates(queue string, s Step) (byEstimate, byImage float64) {
 	byEstimate = float64(s.EstimateMs)
-	if q := l.times(queue); q.factor.samples >= enoughSamples {
+	if q := e.stats(queue); q.factor.samples >= minSamples {
 		byEstimate *= q.factor.value
 	}
-	if m := l.images[runKey{queue, s.Image}]; m != nil && m.samples >= enoughSamples {
+	if m := e.images[imageKey{queue, s.Image}]; m != nil && m.samples >= minSamples {
 		byImage = m.value
 	}
 	return byEstimate, byImage
@@ -84,22 +84,22 @@
 // Limits of a sample of a worker's slowdown, so that a single outlier does not
 // dominate the mean.
 const (
-	leastSpeed = 0.25
-	mostSpeed  = 8
+	minSlowdown = 0.25
+	maxSlowdown = 8
 )
 
 // recordRun adds the run time of a completed task to the statistics.
-func (l learned) learnRun(queue, worker string, s Step, ms int64) {
+func (e estimator) recordRun(queue, worker string, s Step, ms int64) {
 	took := float64(max(ms, 1))
-	byEstimate, byImage := l.both(queue, s)
-	q := l.times(queue)
-	if expected := float64(l.runMs(queue, s)); expected > 0 {
-		m := l.speed[worker]
+	byEstimate, byImage := e.estimates(queue, s)
+	q := e.stats(queue)
+	if expected := float64(e.runMs(queue, s)); expected > 0 {
+		m := e.slowdowns[worker]
 		if m == nil {
 			m = &mean{}
-			l.speed[worker] = m
+			e.slowdowns[worker] = m
 		}
-		m.add(min(max(took/expected, leastSpeed), mostSpeed))
+		m.add(min(max(took/expected, minSlowdown), maxSlowdown))
 	}
 	if byEstimate > 0 {
 		q.estError.add(math.Abs(math.Log(took / byEstimate)))
@@ -108,25 +108,25 @@
 	if byImage > 0 {
 		q.imgError.add(math.Abs(math.Log(took / byImage)))
 	}
-	key := runKey{queue, s.Image}
-	if l.images[key] == nil {
-		l.images[key] = &mean{}
+	key := imageKey{queue, s.Image}
+	if e.images[key] == nil {
+		e.images[key] = &mean{}
 	}
-	l.images[key].add(took)
+	e.images[key].add(took)
 }
 
 // slowdownClasses is the number of slowdown classes.
-const slowClasses = 4
+const slowdownClasses = 4
 
 // slowdownClass returns the slowdown class of a worker, from 0 for normal speed to
 // 3 for a slowdown of 3 or more.
-func (l learned) slowness(worker string) int {
-	m := l.speed[worker]
-	if m == nil || m.samples < enoughSamples {
+func (e estimator) slowdownClass(worker string) int {
+	m := e.slowdowns[worker]
+	if m == nil || m.samples < minSamples {
 		return 0
 	}
-	for class, least := range [...]float64{1.15, 1.7, 3} {
-		if m.value < least {
+	for class, limit := range [...]float64{1.15, 1.7, 3} {
+		if m.value < limit {
 			return class
 		}
 	}
--- a/internal/cell/sched/load_test.go
+++ b/internal/cell/sched/load_test.go
@@ -11,10 +11,10 @@
 )
 
 // noHosts has no free host for advice requests.
-type noDesks struct{}
+type noHosts struct{}
 
-func (noDesks) Idle() bool                  { return false }
-func (noDesks) Take(float64) (string, bool) { return "", false }
+func (noHosts) Idle() bool                  { return false }
+func (noHosts) Take(float64) (string, bool) { return "", false }
 
 // fleet returns a planner with n reachable workers of 32 cores.
 func fleet(n int, now Instant) *Planner {
@@ -37,7 +37,7 @@
 func TestNoStarvation(t *testing.T) {
 	now := Instant{Ms: 1000, Wall: 1000}
 	p := fleet(2, now)
-	for i := range 2 * mostTried {
+	for i := range 2 * maxPlanSteps {
 		spec := Spec{ID: fmt.Sprintf("a%04d", i), Queue: "urgent", AtMs: now.Wall, Steps: []Step{{Count: 1, Size: jobs.Size{CPU: 33_000}, EstimateMs: 100}}}
 		p.Accept(spec, now)
 	}
@@ -45,7 +45,7 @@
 	var starts []Start
 	for range 4 {
 		now.Ms, now.Wall = now.Ms+2, now.Wall+2
-		starts = append(starts, p.Plan(noDesks{}, now).Starts...)
+		starts = append(starts, p.Plan(noHosts{}, now).Starts...)
 	}
 	assert.Equal(t, len(starts), 1)
 	assert.Equal(t, starts[0].Ref.Job, "b")
@@ -83,7 +83,7 @@
 			ends[r.start.Ref.Job] = now.Wall
 		}
 		running = rest
-		plan := p.Plan(noDesks{}, now)
+		plan := p.Plan(noHosts{}, now)
 		b, err := p.TakeDirty(now)
 		assert.NilError(t, err)
 		p.Stored(b)
@@ -115,7 +115,7 @@
 			for i := range b.N {
 				spec := Spec{ID: fmt.Sprintf("%08d", i), Queue: "urgent", AtMs: now.Wall, Steps: []Step{{Count: 1, Size: jobs.Size{CPU: 1000}, EstimateMs: 500}}}
 				p.Accept(spec, now)
-				plan := p.Plan(noDesks{}, now)
+				plan := p.Plan(noHosts{}, now)
 				for _, s := range plan.Starts {
 					w := p.workers[s.Worker]
 					p.release(w, s.Ref)
@@ -152,10 +152,10 @@
 }
 
 // allHosts always has a free host for advice requests.
-type allDesks struct{}
+type allHosts struct{}
 
-func (allDesks) Idle() bool                  { return true }
-func (allDesks) Take(float64) (string, bool) { return "d", true }
+func (allHosts) Idle() bool                  { return true }
+func (allHosts) Take(float64) (string, bool) { return "d", true }
 
 // backlog returns a planner with n waiting jobs of each kind: gangs, wide steps
 // and urgent jobs.
@@ -187,7 +187,7 @@
 			p := backlog(n, 2*n, now)
 			for range b.N {
 				now.Ms, now.Wall = now.Ms+5, now.Wall+5
-				plan := p.Plan(allDesks{}, now)
+				plan := p.Plan(allHosts{}, now)
 				for _, w := range plan.Wants {
 					tickets := map[string]string{}
 					for i, id := range w.Workers {
--- a/internal/cell/sched/order.go
+++ b/internal/cell/sched/order.go
@@ -12,10 +12,10 @@
 type rank uint8
 
 const (
-	rankInTime rank = iota // can meet its deadline
-	rankLate               // will miss its deadline, but end within lateFactor
-	rankExcess             // submitted in excess of its team's rate
-	rankLost               // too late to be of use
+	rankOnTime  rank = iota // can meet its deadline
+	rankLate                // will miss its deadline, but end within lateFactor
+	rankExcess              // submitted in excess of its team's rate
+	rankExpired             // too late to be of use
 )
 
 // lateFactor times the time from the due time of a job to its deadline is the
@@ -23,27 +23,27 @@
 const lateFactor = 3
 
 // rankedStep is a step instance with its sort keys.
-type standing struct {
-	pt       *part
-	rank     rank
-	priority int
-	due      int64
+type rankedStep struct {
+	si         *stepInstance
+	rank       rank
+	priority   int
+	deadlineMs int64
 }
 
 // before orders by rank, priority and deadline.
-func (s *standing) before(o *standing) bool {
+func (s *rankedStep) before(o *rankedStep) bool {
 	switch {
 	case s.rank != o.rank:
 		return s.rank < o.rank
 	case s.priority != o.priority:
 		return s.priority < o.priority
-	case s.due != o.due:
-		return s.due < o.due
+	case s.deadlineMs != o.deadlineMs:
+		return s.deadlineMs < o.deadlineMs
 	}
-	return s.pt.key().less(o.pt.key())
+	return s.si.key().less(o.si.key())
 }
 
-func (k partKey) less(o partKey) bool {
+func (k stepKey) less(o stepKey) bool {
 	switch {
 	case k.job != o.job:
 		return k.job < o.job
@@ -53,31 +53,31 @@
 	return k.step < o.step
 }
 
-// rankStep computes the sort keys of a step instance and stores its rank.
-func (p *Planner) standing(pt *part, now Instant) standing {
-	q := p.queue(pt)
-	s := standing{pt: pt, priority: q.Priority, due: pt.due}
-	end := now.Wall + p.remaining(pt)
-	late := pt.from + lateFactor*(pt.due-pt.from)
+// rankedStep computes the sort keys of a step instance and stores its rank.
+func (p *Planner) rankedStep(si *stepInstance, now Instant) rankedStep {
+	q := p.queue(si)
+	s := rankedStep{si: si, priority: q.Priority, deadlineMs: si.deadlineMs}
+	end := now.Wall + p.remaining(si)
+	late := si.dueMs + lateFactor*(si.deadlineMs-si.dueMs)
 	switch {
 	case end > late:
-		s.rank = rankLost
-	case pt.job.Spec.Excess:
+		s.rank = rankExpired
+	case si.job.Spec.Excess:
 		s.rank = rankExcess
-	case end > pt.due:
+	case end > si.deadlineMs:
 		s.rank = rankLate
 	}
-	pt.rank = s.rank
+	si.rank = s.rank
 	return s
 }
 
 // remaining estimates the total run time of a step and the steps that depend on
 // it, in ms.
-func (p *Planner) remaining(pt *part) int64 {
+func (p *Planner) remaining(si *stepInstance) int64 {
 	var ms int64
-	for i := pt.step; i < len(pt.job.Spec.Steps); i++ {
-		if i == pt.step || dependsOn(pt.job.Spec.Steps, i, pt.step) {
-			ms += p.learned.runMs(pt.job.Spec.Queue, pt.job.Spec.Steps[i])
+	for i := si.step; i < len(si.job.Spec.Steps); i++ {
+		if i == si.step || dependsOn(si.job.Spec.Steps, i, si.step) {
+			ms += p.estimator.runMs(si.job.Spec.Queue, si.job.Spec.Steps[i])
 		}
 	}
 	return ms
@@ -94,13 +94,13 @@
 }
 
 // rankHeap is a heap whose root is the last in order.
-type worst []standing
+type rankHeap []rankedStep
 
-func (h worst) Len() int           { return len(h) }
-func (h worst) Less(a, b int) bool { return h[b].before(&h[a]) }
-func (h worst) Swap(a, b int)      { h[a], h[b] = h[b], h[a] }
-func (h *worst) Push(x any)        { *h = append(*h, x.(standing)) }
-func (h *worst) Pop() any {
+func (h rankHeap) Len() int           { return len(h) }
+func (h rankHeap) Less(a, b int) bool { return h[b].before(&h[a]) }
+func (h rankHeap) Swap(a, b int)      { h[a], h[b] = h[b], h[a] }
+func (h *rankHeap) Push(x any)        { *h = append(*h, x.(rankedStep)) }
+func (h *rankHeap) Pop() any {
 	old := *h
 	x := old[len(old)-1]
 	*h = old[:len(old)-1]
@@ -108,17 +108,17 @@
 }
 
 // firstSteps returns the first n waiting step instances, in order. It skips
-// those in backoff, so that many step instances without capacity at the front
+// those whose retry is not due, so that many step instances without capacity at the front
 // do not starve the ones behind them.
-func (p *Planner) first(n int, now Instant) []*part {
-	h := make(worst, 0, min(n, len(p.waiting)))
-	for _, pt := range p.waiting {
-		if now.Ms < pt.restMs || !p.timely(pt, now) {
+func (p *Planner) firstSteps(n int, now Instant) []*stepInstance {
+	h := make(rankHeap, 0, min(n, len(p.waiting)))
+	for _, si := range p.waiting {
+		if now.Ms < si.retryMs || !p.occurrenceDue(si, now) {
 			continue
 		}
-		s := p.standing(pt, now)
-		if s.rank == rankLost {
-			pt.restMs = now.Ms + lostRestMs
+		s := p.rankedStep(si, now)
+		if s.rank == rankExpired {
+			si.retryMs = now.Ms + expiredRetryMs
 		}
 		if len(h) < n {
 			heap.Push(&h, s)
@@ -130,15 +130,15 @@
 		}
 	}
 	sort.Slice(h, func(a, b int) bool { return h[a].before(&h[b]) })
-	list := make([]*part, len(h))
+	list := make([]*stepInstance, len(h))
 	for i := range h {
-		list[i] = h[i].pt
+		list[i] = h[i].si
 	}
 	return list
 }
 
 // tokenBucket limits the rate of a team's jobs to its weight, in jobs a second.
-type bucket struct {
+type tokenBucket struct {
 	tokens float64
 	atMs   int64
 }
@@ -147,14 +147,14 @@
 const bucketSeconds = 2
 
 // exceedsRate takes a token of the team and reports whether there was none.
-func (p *Planner) excess(team string, now Instant) bool {
+func (p *Planner) exceedsRate(team string, now Instant) bool {
 	weight := float64(p.view.Teams[team].Weight)
 	if weight <= 0 {
 		return false
 	}
 	b := p.buckets[team]
 	if b == nil {
-		b = &bucket{tokens: weight * bucketSeconds, atMs: now.Ms}
+		b = &tokenBucket{tokens: weight * bucketSeconds, atMs: now.Ms}
 		p.buckets[team] = b
 	}
 	b.tokens = min(b.tokens+weight*float64(now.Ms-b.atMs)/1000, weight*bucketSeconds)
--- a/internal/cell/sched/planner.go
+++ b/internal/cell/sched/planner.go
@@ -22,9 +22,9 @@
 //
 //	p := sched.NewPlanner(sched.Config{State: state, LeaseMs: 8000})
 //	p.Accept(spec, now)
-//	plan := p.Plan(hosts, now)    // allocates capacity
+//	plan := p.Plan(hosts, now)     // allocates capacity
 //	batch, err := p.TakeDirty(now) // records to append
-//	p.Stored(batch)               // after the append
+//	p.Stored(batch)                // after the append
 //	send := p.Release(plan.Starts, now)
 //	p.Started(start, sched.StartUp, now)
 //	p.Listed("w1", lists, now)
@@ -72,29 +72,31 @@
 )
 
 // stepInstance is one step of one occurrence of an open job.
-type part struct {
-	job     *Job
-	occ     int
-	step    int
-	from    int64 // when the occurrence became due, in ms since 1970
-	due     int64 // when the job should have ended, in ms since 1970
-	readyMs int64 // monotonic time at which it became ready to run
-	advice  adviceState
-	restMs  int64 // no placement is tried before this time
-	rank    rank  // result of the last ranking
-	vain    int   // failed tries since the last start or advice
-	failRun int   // last run of a gang whose failure was counted
-	queue   *Queue
-	viewNo  int // version of the configuration that queue is from
+type stepInstance struct {
+	job         *Job
+	occ         int
+	step        int
+	dueMs       int64 // when the occurrence became due, in ms since 1970
+	deadlineMs  int64 // when the job should have ended, in ms since 1970
+	readyMs     int64 // monotonic time at which it became ready to run
+	advice      adviceState
+	retryMs     int64 // no placement is tried before this time
+	rank        rank  // result of the last ranking
+	failedTries int   // failed tries since the last start or advice
+	failedRun   int   // last run of a gang whose failure was counted
+	queue       *Queue
+	viewVersion int // version of the configuration that queue is from
 }
 
-func (pt *part) spec() Step    { return pt.job.Spec.Steps[pt.step] }
-func (pt *part) tasks() []Task { return pt.job.stepTasks(pt.occ, pt.step) }
-func (pt *part) ref(i int) Ref { return Ref{Job: pt.job.Spec.ID, Occ: pt.occ, Step: pt.step, Index: i} }
-func (pt *part) key() partKey  { return partKey{pt.job.Spec.ID, pt.occ, pt.step} }
-func (pt *part) name() string  { return pt.ref(0).StepName() }
+func (si *stepInstance) spec() Step    { return si.job.Spec.Steps[si.step] }
+func (si *stepInstance) tasks() []Task { return si.job.stepTasks(si.occ, si.step) }
+func (si *stepInstance) ref(i int) Ref {
+	return Ref{Job: si.job.Spec.ID, Occ: si.occ, Step: si.step, Index: i}
+}
+func (si *stepInstance) key() stepKey     { return stepKey{si.job.Spec.ID, si.occ, si.step} }
+func (si *stepInstance) stepName() string { return si.ref(0).StepName() }
 
-type partKey struct {
+type stepKey struct {
 	job  string
 	occ  int
 	step int
@@ -103,30 +105,30 @@
 // Planner holds the jobs and workers of one owner and decides which tasks run
 // where. It is not safe for concurrent use.
 type Planner struct {
-	cfg     Config
-	state   *State
-	view    View
-	queues  map[string]*Queue
-	viewNo  int // number of configurations set so far
-	workers map[string]*Worker
-	used    map[string]jobs.Size // allocated, by team
-	parts   map[partKey]*part
-	waiting map[partKey]*part  // step instances with a task that is ready to be placed
-	dirty   map[string]bool    // jobs whose latest progress is not in a batch yet
-	fresh   []Spec             // accepted jobs that are not in a batch yet
-	durable map[string]Verdict // verdicts that are stored, by job
-	known   map[string]bool    // jobs whose acceptance is stored
-	stops   []Stop
-	trust   *trust.Trust
-	good    map[string]*ratio // share of the workers that advice allows, by queue
-	learned learned
-	buckets map[string]*bucket // by team
-	ended   []endedJob         // by time of their end
+	cfg            Config
+	state          *State
+	view           View
+	queues         map[string]*Queue
+	viewVersion    int // number of configurations set so far
+	workers        map[string]*Worker
+	used           map[string]jobs.Size // allocated, by team
+	steps          map[stepKey]*stepInstance
+	waiting        map[stepKey]*stepInstance // step instances with a task that is ready to be placed
+	dirty          map[string]bool           // jobs whose latest progress is not in a batch yet
+	newSpecs       []Spec                    // accepted jobs that are not in a batch yet
+	storedVerdicts map[string]Verdict        // verdicts that are stored, by job
+	storedJobs     map[string]bool           // jobs whose acceptance is stored
+	stops          []Stop
+	trust          *trust.Trust
+	allowedShares  map[string]*allowedShare // share of the workers that advice allows, by queue
+	estimator      estimator
+	buckets        map[string]*tokenBucket // by team
+	ended          []endedJob              // by time of their end
 }
 
 type endedJob struct {
-	id string
-	at int64 // monotonic, in ms
+	id   string
+	atMs int64 // monotonic, in ms
 }
 
 // NewPlanner returns a planner for an owner that has read all records. Tasks
@@ -135,22 +137,22 @@
 func NewPlanner(cfg Config, now Instant) *Planner {
 	p := &Planner{
 		cfg: cfg, state: cfg.State, workers: map[string]*Worker{}, used: map[string]jobs.Size{},
-		parts: map[partKey]*part{}, waiting: map[partKey]*part{}, dirty: map[string]bool{},
-		durable: map[string]Verdict{}, known: map[string]bool{}, trust: trust.New(trust.Config{}), good: map[string]*ratio{},
-		learned: newLearned(), buckets: map[string]*bucket{},
+		steps: map[stepKey]*stepInstance{}, waiting: map[stepKey]*stepInstance{}, dirty: map[string]bool{},
+		storedVerdicts: map[string]Verdict{}, storedJobs: map[string]bool{}, trust: trust.New(trust.Config{}), allowedShares: map[string]*allowedShare{},
+		estimator: newEstimator(), buckets: map[string]*tokenBucket{},
 	}
 	for id, j := range cfg.State.Jobs {
-		p.known[id] = true
-		p.durable[id] = j.Progress.Verdict
+		p.storedJobs[id] = true
+		p.storedVerdicts[id] = j.Progress.Verdict
 		p.adopt(j, now)
 		if j.Progress.Verdict != Open {
-			p.stopAll(j)
+			p.stopJob(j)
 			p.ended = append(p.ended, endedJob{id, now.Ms - max(now.Wall-j.Progress.EndMs, 0)})
 			continue
 		}
-		p.open(j, now)
+		p.addSteps(j, now)
 	}
-	sort.Slice(p.ended, func(a, b int) bool { return p.ended[a].at < p.ended[b].at })
+	sort.Slice(p.ended, func(a, b int) bool { return p.ended[a].atMs < p.ended[b].atMs })
 	return p
 }
 
@@ -166,9 +168,9 @@
 				if w == nil {
 					w = p.addWorker(WorkerInfo{ID: t.Worker, Born: t.Born}, now)
 				}
-				p.book(w, &booking{
-					ref: Ref{j.Spec.ID, occ, step, i}, run: t.Run, size: s.charge(), team: j.Spec.Team,
-					phase: phaseAdopted, sinceMs: now.Ms, runMs: s.EstimateMs, endMs: now.Ms + s.EstimateMs,
+				p.allocate(w, &allocation{
+					ref: Ref{j.Spec.ID, occ, step, i}, run: t.Run, size: s.demand(), team: j.Spec.Team,
+					phase: phaseAdopted, phaseStartMs: now.Ms, runMs: s.EstimateMs, endMs: now.Ms + s.EstimateMs,
 				})
 			}
 		}
@@ -179,38 +181,38 @@
 // renew its lease for SilenceMs.
 func (p *Planner) addWorker(info WorkerInfo, now Instant) *Worker {
 	w := newWorker(info)
-	w.sureMs = now.Ms + p.cfg.SilenceMs + p.leaseBound()
+	w.leaseExpiryMs = now.Ms + p.cfg.SilenceMs + p.leaseBound()
 	p.workers[info.ID] = w
 	return w
 }
 
 // leaseBound returns how long a lease may last after its renewal was sent, in ms.
-func (p *Planner) leaseBound() int64 { return bound(p.cfg.LeaseMs) }
+func (p *Planner) leaseBound() int64 { return elapsedBound(p.cfg.LeaseMs) }
 
 // maxLeaseBound is leaseBound for the longest lease that a worker grants.
-func (p *Planner) longestBound() int64 { return bound(max(p.cfg.LeaseMaxMs, p.cfg.LeaseMs)) }
+func (p *Planner) maxLeaseBound() int64 { return elapsedBound(max(p.cfg.LeaseMaxMs, p.cfg.LeaseMs)) }
 
 // elapsedBound returns how long a lease of ms on a worker's clock may last on
 // the clock of this process.
-func bound(ms int64) int64 { return ms + int64(float64(ms)*clockDrift) + leaseMarginMs }
+func elapsedBound(ms int64) int64 { return ms + int64(float64(ms)*clockDrift) + leaseMarginMs }
 
-func (p *Planner) book(w *Worker, b *booking) {
-	w.book(b)
-	p.used[b.team] = p.used[b.team].Plus(b.size)
+func (p *Planner) allocate(w *Worker, a *allocation) {
+	w.allocate(a)
+	p.used[a.team] = p.used[a.team].Plus(a.size)
 }
 
 func (p *Planner) release(w *Worker, r Ref) {
-	if b := w.release(r); b != nil {
-		p.used[b.team] = p.used[b.team].Minus(b.size)
+	if a := w.release(r); a != nil {
+		p.used[a.team] = p.used[a.team].Minus(a.size)
 	}
 }
 
 // addSteps adds the step instances of an open job.
-func (p *Planner) open(j *Job, now Instant) {
+func (p *Planner) addSteps(j *Job, now Instant) {
 	for occ := range j.occurrences() {
 		for step := range j.Spec.Steps {
-			pt := &part{job: j, occ: occ, step: step}
-			p.parts[pt.key()] = pt
+			si := &stepInstance{job: j, occ: occ, step: step}
+			p.steps[si.key()] = si
 		}
 	}
 	p.refresh(j, now)
@@ -223,27 +225,27 @@
 		return
 	}
 	if j.Progress.Cancel {
-		p.end(j, Cancelled, now)
+		p.endJob(j, Cancelled, now)
 		return
 	}
-	all := true
+	allDone := true
 	for occ := range j.occurrences() {
 		for step, s := range j.Spec.Steps {
-			done, idle := count(j.stepTasks(occ, step))
+			done, idle := countTasks(j.stepTasks(occ, step))
 			if done == s.Count {
-				delete(p.waiting, partKey{j.Spec.ID, occ, step})
+				delete(p.waiting, stepKey{j.Spec.ID, occ, step})
 				continue
 			}
-			all = false
-			p.refreshPart(j, occ, step, idle, now)
+			allDone = false
+			p.refreshStep(j, occ, step, idle, now)
 		}
 	}
-	if all {
-		p.end(j, Completed, now)
+	if allDone {
+		p.endJob(j, Completed, now)
 	}
 }
 
-func count(tasks []Task) (done, idle int) {
+func countTasks(tasks []Task) (done, idle int) {
 	for _, t := range tasks {
 		switch t.State {
 		case Done:
@@ -255,51 +257,52 @@
 	return done, idle
 }
 
-func (p *Planner) refreshPart(j *Job, occ, step, idle int, now Instant) {
-	key := partKey{j.Spec.ID, occ, step}
-	pt := p.parts[key]
+// refreshStep marks a step instance as waiting if it is ready to be placed.
+func (p *Planner) refreshStep(j *Job, occ, step, idle int, now Instant) {
+	key := stepKey{j.Spec.ID, occ, step}
+	si := p.steps[key]
 	s := j.Spec.Steps[step]
-	could := idle > 0 && (!s.Gang || idle == s.Count)
+	ready := idle > 0 && (!s.Gang || idle == s.Count)
 	for _, d := range s.After {
-		done, _ := count(j.stepTasks(occ, d))
-		could = could && done == j.Spec.Steps[d].Count
+		done, _ := countTasks(j.stepTasks(occ, d))
+		ready = ready && done == j.Spec.Steps[d].Count
 	}
-	if !could {
+	if !ready {
 		delete(p.waiting, key)
 		return
 	}
-	pt.restMs = 0 // one of its runs may have ended and released capacity
+	si.retryMs = 0 // one of its runs may have ended and released capacity
 	if p.waiting[key] == nil {
-		pt.readyMs = now.Ms
-		p.schedule(pt)
-		p.waiting[key] = pt
+		si.readyMs = now.Ms
+		p.setDeadline(si)
+		p.waiting[key] = si
 	}
 }
 
 // setDeadline computes when the job should have ended: its due time, plus the
 // run time of its critical path times the queue's slack factor, plus the
 // queue's target latency.
-func (p *Planner) schedule(pt *part) {
-	spec := pt.job.Spec
-	pt.from = spec.AtMs
+func (p *Planner) setDeadline(si *stepInstance) {
+	spec := si.job.Spec
+	si.dueMs = spec.AtMs
 	if spec.Times > 0 {
-		pt.from = spec.FirstMs + int64(pt.occ)*spec.EveryMs
+		si.dueMs = spec.FirstMs + int64(si.occ)*spec.EveryMs
 	}
 	q := p.view.Queues[spec.Queue]
 	ends := make([]int64, len(spec.Steps))
-	var chain int64
+	var criticalPath int64
 	for i, s := range spec.Steps {
 		for _, d := range s.After {
 			ends[i] = max(ends[i], ends[d])
 		}
-		ends[i] += p.learned.runMs(spec.Queue, s)
-		chain = max(chain, ends[i])
+		ends[i] += p.estimator.runMs(spec.Queue, s)
+		criticalPath = max(criticalPath, ends[i])
 	}
-	pt.due = pt.from + int64(q.Slack*float64(chain)) + q.TargetMs
+	si.deadlineMs = si.dueMs + int64(q.Slack*float64(criticalPath)) + q.TargetMs
 }
 
 // endJob sets the verdict of a job and stops its remaining runs.
-func (p *Planner) end(j *Job, v Verdict, now Instant) {
+func (p *Planner) endJob(j *Job, v Verdict, now Instant) {
 	j.Progress.Verdict = v
 	j.Progress.EndMs = now.Wall
 	id := j.Spec.ID
@@ -307,16 +310,16 @@
 	p.ended = append(p.ended, endedJob{id, now.Ms})
 	for occ := range j.occurrences() {
 		for step := range j.Spec.Steps {
-			key := partKey{id, occ, step}
+			key := stepKey{id, occ, step}
 			delete(p.waiting, key)
-			delete(p.parts, key)
+			delete(p.steps, key)
 		}
 	}
-	p.stopAll(j)
+	p.stopJob(j)
 }
 
 // stopJob requests a stop of every run of a job.
-func (p *Planner) stopAll(j *Job) {
+func (p *Planner) stopJob(j *Job) {
 	for occ := range j.occurrences() {
 		for step := range j.Spec.Steps {
 			for i, t := range j.stepTasks(occ, step) {
@@ -342,12 +345,12 @@
 // stop requests a stop of a run. A start whose intent is not stored yet needs
 // none, because Release withdraws it.
 func (p *Planner) stop(w *Worker, r Ref, run int) {
-	b := w.runs[r]
-	if b != nil && b.run == run {
-		if b.stopping || b.phase == phaseIntent {
+	a := w.runs[r]
+	if a != nil && a.run == run {
+		if a.stopping || a.phase == phaseIntent {
 			return
 		}
-		b.stopping = true
+		a.stopping = true
 	}
 	p.stops = append(p.stops, Stop{Worker: w.ID, Ref: r, Run: run})
 }
@@ -369,7 +372,7 @@
 // SetView replaces the configuration.
 func (p *Planner) SetView(v View) {
 	p.view = v
-	p.viewNo++
+	p.viewVersion++
 	p.queues = map[string]*Queue{}
 	for name, q := range v.Queues {
 		p.queues[name] = &q
@@ -377,17 +380,17 @@
 }
 
 // missingQueue replaces a queue that is no longer configured.
-var noQueue = &Queue{}
+var missingQueue = &Queue{}
 
 // queue returns the queue of a step instance, cached for each configuration.
-func (p *Planner) queue(pt *part) *Queue {
-	if pt.queue == nil || pt.viewNo != p.viewNo {
-		pt.queue, pt.viewNo = p.queues[pt.job.Spec.Queue], p.viewNo
-		if pt.queue == nil {
-			pt.queue = noQueue
+func (p *Planner) queue(si *stepInstance) *Queue {
+	if si.queue == nil || si.viewVersion != p.viewVersion {
+		si.queue, si.viewVersion = p.queues[si.job.Spec.Queue], p.viewVersion
+		if si.queue == nil {
+			si.queue = missingQueue
 		}
 	}
-	return pt.queue
+	return si.queue
 }
 
 // Accept adds a job and reports whether it is new. A job whose ID is in use is
@@ -396,11 +399,11 @@
 	if p.state.Jobs[spec.ID] != nil {
 		return false
 	}
-	spec.Excess = p.excess(spec.Team, now)
+	spec.Excess = p.exceedsRate(spec.Team, now)
 	j := newJob(spec)
 	p.state.Jobs[spec.ID] = j
-	p.fresh = append(p.fresh, spec)
-	p.open(j, now)
+	p.newSpecs = append(p.newSpecs, spec)
+	p.addSteps(j, now)
 	return true
 }
 
@@ -412,7 +415,7 @@
 	}
 	if j.Progress.Verdict == Open {
 		j.Progress.Cancel = true
-		p.end(j, Cancelled, now)
+		p.endJob(j, Cancelled, now)
 	}
 	return true
 }
--- a/internal/cell/sched/report.go
+++ b/internal/cell/sched/report.go
@@ -26,20 +26,20 @@
 
 // Backoff of a worker after a refused start.
 const (
-	busyPauseMs = 500 // the worker is overloaded or unhealthy
-	roomPauseMs = 200 // the worker has less free capacity than the planner computed
+	busyBackoffMs     = 500 // the worker is overloaded or unhealthy
+	capacityBackoffMs = 200 // the worker has less free capacity than the planner computed
 )
 
 // Started handles the outcome of a start.
 func (p *Planner) Started(s Start, o Outcome, now Instant) {
 	w := p.workers[s.Worker]
-	b := p.bookingOf(w, s)
-	if b == nil {
+	a := p.allocationOf(w, s)
+	if a == nil {
 		return
 	}
 	switch o {
 	case StartUp:
-		b.phase, b.sinceMs, b.endMs = phaseUp, now.Ms, now.Ms+b.runMs
+		a.phase, a.phaseStartMs, a.endMs = phaseRunning, now.Ms, now.Ms+a.runMs
 		j := p.state.Jobs[s.Ref.Job]
 		if j == nil || j.Progress.Verdict != Open {
 			p.stop(w, s.Ref, s.Run)
@@ -52,15 +52,15 @@
 		p.breakGang(s.Ref)
 		return
 	case StartNoTicket:
-		if pt := p.parts[s.part]; pt != nil {
-			g := pt.advice.grants[s.Worker]
+		if si := p.steps[s.stepInstance]; si != nil {
+			g := si.advice.grants[s.Worker]
 			g.untilMs = 0
-			pt.advice.grants[s.Worker] = g
+			si.advice.grants[s.Worker] = g
 		}
 	case StartNoRoom:
-		w.penalty = now.Ms + roomPauseMs
+		w.backoffUntilMs = now.Ms + capacityBackoffMs
 	case StartRefused:
-		w.penalty = now.Ms + busyPauseMs
+		w.backoffUntilMs = now.Ms + busyBackoffMs
 	}
 	p.release(w, s.Ref)
 	p.requeue(s.Ref, s.Run, now)
@@ -88,8 +88,8 @@
 	if w == nil {
 		return
 	}
-	if b := w.runs[s.Ref]; b != nil && b.run == s.Run && b.phase != phaseIntent {
-		b.phase, b.sinceMs = phaseDenied, now.Ms
+	if a := w.runs[s.Ref]; a != nil && a.run == s.Run && a.phase != phaseIntent {
+		a.phase, a.phaseStartMs = phaseStopConfirmed, now.Ms
 	}
 }
 
@@ -99,21 +99,21 @@
 	if w == nil {
 		w = p.addWorker(info, now)
 	}
-	born := w.Born
-	if born != 0 && info.Born > born {
-		p.reborn(w, info.Born, now)
+	incarnation := w.Born
+	if incarnation != 0 && info.Born > incarnation {
+		p.newIncarnation(w, info.Born, now)
 	}
-	if info.Born < born {
-		info.Born = born
+	if info.Born < incarnation {
+		info.Born = incarnation
 	}
 	w.WorkerInfo = info
-	w.present = true
+	w.registered = true
 }
 
 // DropWorker is called when the registry entry of a worker was deleted.
 func (p *Planner) DropWorker(id string) {
 	if w := p.workers[id]; w != nil {
-		w.present = false
+		w.registered = false
 	}
 }
 
@@ -122,7 +122,7 @@
 func (p *Planner) Targets() []WorkerInfo {
 	var list []WorkerInfo
 	for _, w := range p.workers {
-		if w.Addr != "" && (w.present || len(w.runs) > 0) {
+		if w.Addr != "" && (w.registered || len(w.runs) > 0) {
 			list = append(list, w.WorkerInfo)
 		}
 	}
@@ -133,7 +133,7 @@
 // Worker returns the registry entry of a worker that Targets would return.
 func (p *Planner) Worker(id string) (WorkerInfo, bool) {
 	w := p.workers[id]
-	if w == nil || w.Addr == "" || !w.present && len(w.runs) == 0 {
+	if w == nil || w.Addr == "" || !w.registered && len(w.runs) == 0 {
 		return WorkerInfo{}, false
 	}
 	return w.WorkerInfo, true
@@ -142,7 +142,7 @@
 // Applied returns the number of the last end of a worker that was applied.
 func (p *Planner) Applied(id string) int64 {
 	if w := p.workers[id]; w != nil {
-		return w.seen
+		return w.appliedSeq
 	}
 	return 0
 }
@@ -150,31 +150,31 @@
 // newIncarnation handles a restart of a worker, which has ended all its runs.
 // Its clock has restarted too, so a renewal that was computed for the old clock
 // may have got the longest lease that the worker grants.
-func (p *Planner) reborn(w *Worker, born int64, now Instant) {
-	w.sureMs = max(w.sureMs, now.Ms+p.longestBound())
-	w.Born, w.seen, w.stored, w.listed = born, 0, 0, false
-	p.loseAll(w, now, func(*booking) bool { return true })
+func (p *Planner) newIncarnation(w *Worker, incarnation int64, now Instant) {
+	w.leaseExpiryMs = max(w.leaseExpiryMs, now.Ms+p.maxLeaseBound())
+	w.Born, w.appliedSeq, w.storedSeq, w.listed = incarnation, 0, 0, false
+	p.loseRuns(w, now, func(*allocation) bool { return true })
 }
 
 // loseRuns releases and requeues the runs that match, and reports whether there
 // were any.
-func (p *Planner) loseAll(w *Worker, now Instant, match func(*booking) bool) (any bool) {
-	for ref, b := range w.runs {
-		if !match(b) {
+func (p *Planner) loseRuns(w *Worker, now Instant, match func(*allocation) bool) (lost bool) {
+	for ref, a := range w.runs {
+		if !match(a) {
 			continue
 		}
 		p.release(w, ref)
-		p.requeue(ref, b.run, now)
+		p.requeue(ref, a.run, now)
 		p.breakGang(ref)
-		any = true
+		lost = true
 	}
-	return any
+	return lost
 }
 
 // Renewing is called before a call that renews the lease of a worker is sent.
 func (p *Planner) Renewing(id string, now Instant) {
 	if w := p.workers[id]; w != nil {
-		w.sureMs = max(w.sureMs, now.Ms+p.leaseBound())
+		w.leaseExpiryMs = max(w.leaseExpiryMs, now.Ms+p.leaseBound())
 	}
 }
 
@@ -185,8 +185,8 @@
 	if w == nil {
 		return false
 	}
-	lostContact = w.contact
-	w.contact = false
+	lostContact = w.reachable
+	w.reachable = false
 	return lostContact
 }
 
@@ -194,13 +194,13 @@
 // returns the workers that had such runs.
 func (p *Planner) Tick(now Instant) (lost []string) {
 	for id, w := range p.workers {
-		if w.contact || now.Ms < w.sureMs {
+		if w.reachable || now.Ms < w.leaseExpiryMs {
 			continue
 		}
-		if p.loseAll(w, now, func(b *booking) bool { return b.phase != phaseIntent }) {
+		if p.loseRuns(w, now, func(a *allocation) bool { return a.phase != phaseIntent }) {
 			lost = append(lost, id)
 		}
-		if !w.present && len(w.runs) == 0 {
+		if !w.registered && len(w.runs) == 0 {
 			delete(p.workers, id)
 		}
 	}
@@ -228,35 +228,37 @@
 		if l.Born < w.Born {
 			return
 		}
-		p.reborn(w, l.Born, now)
+		p.newIncarnation(w, l.Born, now)
 	}
 	if l.Born != 0 {
 		if w.Born == 0 {
 			w.Born = l.Born
 		}
-		p.loseAll(w, now, func(b *booking) bool { return b.phase == phaseAdopted && p.bornOf(b) != 0 && p.bornOf(b) != l.Born })
+		p.loseRuns(w, now, func(a *allocation) bool {
+			return a.phase == phaseAdopted && p.incarnationOf(a) != 0 && p.incarnationOf(a) != l.Born
+		})
 	}
 	if !w.listed {
 		// The worker is fenced: a previous owner can't renew its lease again, but
 		// its last renewal may have been computed for the clock of an earlier
 		// incarnation.
-		w.sureMs = now.Ms + p.longestBound()
+		w.leaseExpiryMs = now.Ms + p.maxLeaseBound()
 	}
-	w.listed, w.contact = true, true
+	w.listed, w.reachable = true, true
 	for _, f := range l.Finished {
-		if f.N <= w.seen {
+		if f.N <= w.appliedSeq {
 			continue
 		}
-		w.seen = f.N
-		p.finished(w, f, now)
+		w.appliedSeq = f.N
+		p.applyFinished(w, f, now)
 	}
 	p.checkRunning(w, l, now)
 }
 
 // incarnationOf returns the worker incarnation on which a run was placed.
-func (p *Planner) bornOf(b *booking) int64 {
-	if j := p.state.Jobs[b.ref.Job]; j != nil {
-		if t := j.task(b.ref); t != nil {
+func (p *Planner) incarnationOf(a *allocation) int64 {
+	if j := p.state.Jobs[a.ref.Job]; j != nil {
+		if t := j.task(a.ref); t != nil {
 			return t.Born
 		}
 	}
@@ -267,43 +269,43 @@
 // that are missing from the list are requeued if a stop was confirmed or they
 // were adopted, and stopped if the worker had confirmed their start.
 func (p *Planner) checkRunning(w *Worker, l Lists, now Instant) {
-	there := make(map[Ref]bool, len(l.Running))
+	listed := make(map[Ref]bool, len(l.Running))
 	for _, r := range l.Running {
 		ref, ok := ParseRef(r.Task)
 		if !ok {
 			continue
 		}
-		there[ref] = true
-		p.running(w, ref, r)
+		listed[ref] = true
+		p.applyRunning(w, ref, r)
 	}
 	if len(l.Finished) >= maxFinished {
 		return // the missing runs may have ends that do not fit into this reply
 	}
-	for ref, b := range w.runs {
-		if there[ref] || b.sinceMs >= l.SentMs {
+	for ref, a := range w.runs {
+		if listed[ref] || a.phaseStartMs >= l.SentMs {
 			continue
 		}
-		switch b.phase {
-		case phaseAdopted, phaseDenied:
+		switch a.phase {
+		case phaseAdopted, phaseStopConfirmed:
 			p.release(w, ref)
-			p.requeue(ref, b.run, now)
+			p.requeue(ref, a.run, now)
 			p.breakGang(ref)
-		case phaseUp:
-			p.stop(w, ref, b.run)
+		case phaseRunning:
+			p.stop(w, ref, a.run)
 		}
 	}
 }
 
 // applyRunning handles one entry of the list of active runs. It stops runs that
 // have no allocation or whose job has ended.
-func (p *Planner) running(w *Worker, ref Ref, r Running) {
-	b := w.runs[ref]
-	if b == nil || b.run != r.Run {
+func (p *Planner) applyRunning(w *Worker, ref Ref, r Running) {
+	a := w.runs[ref]
+	if a == nil || a.run != r.Run {
 		p.stops = append(p.stops, Stop{Worker: w.ID, Ref: ref, Run: r.Run})
 		return
 	}
-	if b.phase == phaseAdopted {
-		b.phase = phaseUp
+	if a.phase == phaseAdopted {
+		a.phase = phaseRunning
 	}
 	j := p.state.Jobs[ref.Job]
 	if j == nil || j.Progress.Verdict != Open {
@@ -312,39 +314,39 @@
 	}
 	j.Progress.Begun = true
 	if t := j.task(ref); t != nil && t.Run == r.Run && r.Saved != "" {
-		p.save(j, ref, r.Saved)
+		p.saveCheckpoint(j, ref, r.Saved)
 	}
 }
 
 // applyFinished handles the end of a run.
-func (p *Planner) finished(w *Worker, f Finished, now Instant) {
+func (p *Planner) applyFinished(w *Worker, f Finished, now Instant) {
 	ref, ok := ParseRef(f.Task)
 	if !ok {
 		return
 	}
-	b := w.runs[ref]
-	if b != nil && b.run <= f.Run {
+	a := w.runs[ref]
+	if a != nil && a.run <= f.Run {
 		p.release(w, ref)
 	}
 	j := p.state.Jobs[ref.Job]
 	if j == nil {
 		return
 	}
-	if b != nil && b.run == f.Run && b.phase == phaseUp && f.How == EndDone && j.task(ref) != nil {
-		p.learned.learnRun(j.Spec.Queue, w.ID, j.Spec.Steps[ref.Step], now.Ms-b.sinceMs)
+	if a != nil && a.run == f.Run && a.phase == phaseRunning && f.How == EndDone && j.task(ref) != nil {
+		p.estimator.recordRun(j.Spec.Queue, w.ID, j.Spec.Steps[ref.Step], now.Ms-a.phaseStartMs)
 	}
 	t := j.task(ref)
 	if t == nil {
 		return
 	}
-	p.judge(w, ref, f, now)
+	p.recordTrust(w, ref, f, now)
 	j.Progress.Begun = true
 	if t.State == Done || t.Run > f.Run || t.State == Waiting && f.How != EndDone {
 		return
 	}
 	p.dirty[ref.Job] = true
 	if f.Saved != "" {
-		p.save(j, ref, f.Saved)
+		p.saveCheckpoint(j, ref, f.Saved)
 	}
 	p.settle(j, ref, t, f, now)
 	p.refresh(j, now)
@@ -352,7 +354,7 @@
 
 // recordTrust adds a success or failure to the trust record of a worker. Other
 // ends do not indicate whether the worker is faulty.
-func (p *Planner) judge(w *Worker, ref Ref, f Finished, now Instant) {
+func (p *Planner) recordTrust(w *Worker, ref Ref, f Finished, now Instant) {
 	if f.How == EndDone || f.How == EndFailed {
 		p.trust.Note(trust.End{Worker: w.ID, Job: ref.Job, OK: f.How == EndDone, AtMs: now.Ms})
 	}
@@ -360,7 +362,7 @@
 
 // saveCheckpoint stores a checkpoint of a task. The checkpoint of one gang member
 // is valid for the whole gang.
-func (p *Planner) save(j *Job, ref Ref, saved string) {
+func (p *Planner) saveCheckpoint(j *Job, ref Ref, saved string) {
 	if !j.Spec.Steps[ref.Step].Gang {
 		j.task(ref).Saved = saved
 		return
@@ -385,7 +387,7 @@
 	case f.How == EndDone:
 		t.State = Done
 	case f.How == EndFailed:
-		p.fail(j, ref, t, f, now)
+		p.countFailure(j, ref, t, f, now)
 	default:
 		t.State = Waiting
 		p.breakGang(ref)
@@ -394,22 +396,22 @@
 
 // countFailure counts a failed run and fails the job when a task has used up its
 // attempts. A gang counts one failure for each of its runs.
-func (p *Planner) fail(j *Job, ref Ref, t *Task, f Finished, now Instant) {
+func (p *Planner) countFailure(j *Job, ref Ref, t *Task, f Finished, now Instant) {
 	s := j.Spec.Steps[ref.Step]
 	t.State = Waiting
 	counted := t
 	if s.Gang {
 		counted = &j.stepTasks(ref.Occ, ref.Step)[0]
-		pt := p.parts[partKey{ref.Job, ref.Occ, ref.Step}]
-		if pt == nil || pt.failRun == f.Run {
+		si := p.steps[stepKey{ref.Job, ref.Occ, ref.Step}]
+		if si == nil || si.failedRun == f.Run {
 			return
 		}
-		pt.failRun = f.Run
+		si.failedRun = f.Run
 		p.breakGang(ref)
 	}
 	counted.Fails++
 	attempts := p.view.Queues[j.Spec.Queue].Attempts
 	if !s.Lasts && attempts > 0 && counted.Fails >= attempts && j.Progress.Verdict == Open {
-		p.end(j, JobFailed, now)
+		p.endJob(j, JobFailed, now)
 	}
 }
--- a/internal/cell/sched/rules_test.go
+++ b/internal/cell/sched/rules_test.go
@@ -18,14 +18,14 @@
 // script runs one file of testdata. Each line is a command; "->" is followed by
 // its expected output. Times are in milliseconds.
 type script struct {
-	t       *testing.T
-	p       *Planner
-	now     Instant
-	starts  []Start
-	view    View
-	wants   []Want
-	desks   int // free hosts for advice requests
-	records [][2]string
+	t         *testing.T
+	p         *Planner
+	now       Instant
+	starts    []Start
+	view      View
+	requests  []Want
+	freeHosts int // free hosts for advice requests
+	records   [][2]string
 }
 
 func TestScripts(t *testing.T) {
@@ -41,9 +41,9 @@
 	f, err := os.Open(name)
 	assert.NilError(t, err)
 	defer f.Close()
-	s := &script{t: t, now: Instant{Ms: 100_000, Wall: 100_000}, desks: 8}
+	s := &script{t: t, now: Instant{Ms: 100_000, Wall: 100_000}, freeHosts: 8}
 	s.view = View{Queues: map[string]Queue{}, Teams: map[string]Limit{}, Closed: map[string]bool{}}
-	s.open()
+	s.newOwner()
 	in := bufio.NewScanner(f)
 	for n := 1; in.Scan(); n++ {
 		line, _, _ := strings.Cut(in.Text(), "#")
@@ -61,22 +61,22 @@
 }
 
 // Idle and Take implement Desks.
-func (s *script) Idle() bool { return s.desks > 0 }
+func (s *script) Idle() bool { return s.freeHosts > 0 }
 
 func (s *script) Take(float64) (string, bool) {
-	s.desks--
-	return "d", s.desks >= 0
+	s.freeHosts--
+	return "d", s.freeHosts >= 0
 }
 
 // newOwner starts a new owner from the stored records.
-func (s *script) open() {
+func (s *script) newOwner() {
 	state := NewState()
 	for _, r := range s.records {
 		assert.NilError(s.t, state.Apply(r[0], []byte(r[1])))
 	}
 	s.p = NewPlanner(Config{State: state, SilenceMs: 6_000, LeaseMs: 8_000, KeepMs: 60_000}, s.now)
 	s.p.SetView(s.view)
-	s.starts, s.wants = nil, nil
+	s.starts, s.requests = nil, nil
 }
 
 // args turns key=value fields into a map.
@@ -121,8 +121,8 @@
 		return s.plan()
 	case "store":
 		return s.store()
-	case "owner":
-		s.open()
+	case "takeover":
+		s.newOwner()
 	case "allow":
 		return s.allow(f[1], f[2:])
 	default:
@@ -137,7 +137,7 @@
 		Capacity: jobs.Size{CPU: num(a["cpu"]), Mem: 1 << 30, Accel: 8}, Born: max(num(a["born"]), 1), Draining: a["draining"] != "",
 	}
 	s.p.SetWorker(info, s.now)
-	if a["silent"] == "" {
+	if a["unlisted"] == "" {
 		s.p.Listed(id, Lists{SentMs: s.now.Ms, Born: info.Born}, s.now)
 	}
 }
@@ -166,7 +166,7 @@
 	s.p.Tick(s.now)
 	plan := s.p.Plan(s, s.now)
 	s.starts = append(s.starts, plan.Starts...)
-	s.wants = append(s.wants, plan.Wants...)
+	s.requests = append(s.requests, plan.Wants...)
 	var out []string
 	for _, st := range plan.Starts {
 		out = append(out, fmt.Sprintf("%s/%d@%s", st.Ref, st.Run, st.Worker))
@@ -199,12 +199,12 @@
 
 // allow replies to the oldest advice request of a step with the allowed workers.
 func (s *script) allow(step string, ids []string) string {
-	for i, w := range s.wants {
+	for i, w := range s.requests {
 		if w.Step != step {
 			continue
 		}
-		s.wants = append(s.wants[:i], s.wants[i+1:]...)
-		s.desks++
+		s.requests = append(s.requests[:i], s.requests[i+1:]...)
+		s.freeHosts++
 		tickets := map[string]string{}
 		for _, id := range ids {
 			tickets[id] = "t"
@@ -225,10 +225,10 @@
 				s.p.Started(st, out, s.now)
 			}
 		}
-	case "denied":
+	case "stop-confirmed":
 		ref, _ := ParseRef(f[2])
 		s.p.StopDenied(Stop{Worker: f[1], Ref: ref, Run: int(num(f[3]))}, s.now)
-	case "silent":
+	case "unanswered":
 		s.p.Unanswered(f[1])
 	case "renew":
 		s.p.Renewing(f[1], s.now)
@@ -251,7 +251,7 @@
 		return string(st)
 	case "pending":
 		return fmt.Sprint(s.p.Pending(f[1]))
-	case "seen":
+	case "acked":
 		return fmt.Sprint(s.p.Seen(f[1]))
 	case "lost":
 		return strings.Join(s.p.Tick(s.now), " ")
--- a/internal/cell/sched/state.go
+++ b/internal/cell/sched/state.go
@@ -19,8 +19,8 @@
 	Spec     Spec
 	Progress Progress
 
-	first []int // index of the first task of each step within an occurrence
-	width int   // number of tasks of one occurrence
+	firstTask   []int // index of the first task of each step within an occurrence
+	tasksPerOcc int   // number of tasks of one occurrence
 }
 
 // State is the result of applying the records of the job topic. It depends only
@@ -42,22 +42,22 @@
 func newJob(spec Spec) *Job {
 	j := &Job{Spec: spec}
 	for _, s := range spec.Steps {
-		j.first = append(j.first, j.width)
-		j.width += s.Count
+		j.firstTask = append(j.firstTask, j.tasksPerOcc)
+		j.tasksPerOcc += s.Count
 	}
-	j.Progress.Tasks = make([]Task, j.width*max(spec.Times, 1))
+	j.Progress.Tasks = make([]Task, j.tasksPerOcc*max(spec.Times, 1))
 	return j
 }
 
 // occurrences returns the number of occurrences of the job.
-func (j *Job) occurrences() int { return len(j.Progress.Tasks) / max(j.width, 1) }
+func (j *Job) occurrences() int { return len(j.Progress.Tasks) / max(j.tasksPerOcc, 1) }
 
 // task returns the task of a Ref, or nil if the job has no such task.
 func (j *Job) task(r Ref) *Task {
-	if r.Step < 0 || r.Step >= len(j.first) || r.Index < 0 || r.Index >= j.Spec.Steps[r.Step].Count {
+	if r.Step < 0 || r.Step >= len(j.firstTask) || r.Index < 0 || r.Index >= j.Spec.Steps[r.Step].Count {
 		return nil
 	}
-	i := r.Occ*j.width + j.first[r.Step] + r.Index
+	i := r.Occ*j.tasksPerOcc + j.firstTask[r.Step] + r.Index
 	if r.Occ < 0 || i >= len(j.Progress.Tasks) {
 		return nil
 	}
@@ -66,7 +66,7 @@
 
 // stepTasks returns the tasks of one step of an occurrence.
 func (j *Job) stepTasks(occ, step int) []Task {
-	from := occ*j.width + j.first[step]
+	from := occ*j.tasksPerOcc + j.firstTask[step]
 	return j.Progress.Tasks[from : from+j.Spec.Steps[step].Count]
 }
 
--- a/internal/cell/sched/status.go
+++ b/internal/cell/sched/status.go
@@ -16,10 +16,10 @@
 // is not stored yet, and reports an end only once it is stored.
 func (p *Planner) Status(id string) (Status, bool) {
 	j := p.state.Jobs[id]
-	if j == nil || !p.known[id] {
+	if j == nil || !p.storedJobs[id] {
 		return "", false
 	}
-	switch p.durable[id] {
+	switch p.storedVerdicts[id] {
 	case Completed:
 		return StatusCompleted, true
 	case JobFailed:
@@ -47,7 +47,7 @@
 func (p *Planner) Pending(queue string) int {
 	n := 0
 	for id, j := range p.state.Jobs {
-		if j.Spec.Queue == queue && p.known[id] && j.Progress.Verdict == Open && !j.Progress.Begun {
+		if j.Spec.Queue == queue && p.storedJobs[id] && j.Progress.Verdict == Open && !j.Progress.Begun {
 			n++
 		}
 	}
--- a/internal/cell/sched/worker.go
+++ b/internal/cell/sched/worker.go
@@ -10,54 +10,54 @@
 type phase uint8
 
 const (
-	phaseIntent  phase = iota // the intent is not stored yet; nothing was sent
-	phaseSent                 // the start was released for sending
-	phaseUp                   // the worker has confirmed the start or listed the run
-	phaseAdopted              // placed by a previous owner and not listed yet
-	phaseDenied               // the worker has confirmed a stop; a later list settles the run
+	phaseIntent        phase = iota // the intent is not stored yet; nothing was sent
+	phaseSent                       // the start was released for sending
+	phaseRunning                    // the worker has confirmed the start or listed the run
+	phaseAdopted                    // placed by a previous owner and not listed yet
+	phaseStopConfirmed              // the worker has confirmed a stop; a later list settles the run
 )
 
 // allocation is the capacity of a worker that one run holds. The package
 // comment says when it is released.
-type booking struct {
-	ref      Ref
-	run      int
-	size     jobs.Size
-	team     string
-	phase    phase
-	sinceMs  int64 // start of the phase
-	stopping bool  // a stop was requested
-	runMs    int64 // expected run time
-	endMs    int64 // expected end
+type allocation struct {
+	ref          Ref
+	run          int
+	size         jobs.Size
+	team         string
+	phase        phase
+	phaseStartMs int64 // start of the phase
+	stopping     bool  // a stop was requested
+	runMs        int64 // expected run time
+	endMs        int64 // expected end
 }
 
 // Worker is a worker with its allocations.
 type Worker struct {
 	WorkerInfo
-	runs    map[Ref]*booking
-	booked  jobs.Size
-	listed  bool  // it has sent its lists to this owner, which fences previous owners
-	contact bool  // it answered the last call
-	present bool  // it has a registry entry
-	sureMs  int64 // when its lease has expired at the latest, unless it is renewed
-	seen    int64 // number of the last end that was applied
-	stored  int64 // number of the last end that is stored
-	penalty int64 // no starts before this time
-	kept    kept  // by a waiting gang
+	runs           map[Ref]*allocation
+	allocated      jobs.Size
+	listed         bool     // it has sent its lists to this owner, which fences previous owners
+	reachable      bool     // it answered the last call
+	registered     bool     // it has a registry entry
+	leaseExpiryMs  int64    // when its lease has expired at the latest, unless it is renewed
+	appliedSeq     int64    // number of the last end that was applied
+	storedSeq      int64    // number of the last end that is stored
+	backoffUntilMs int64    // no starts before this time
+	reserved       reserved // reservation for a waiting gang
 
-	indexedCPU int64     // free CPU when the index was built
-	laterRoom  jobs.Size // free capacity expected after horizonMs, set once a plan
+	indexedCPU   int64     // free CPU when the index was built
+	expectedFree jobs.Size // free capacity expected after horizonMs, set once a plan
 }
 
 func newWorker(info WorkerInfo) *Worker {
-	return &Worker{WorkerInfo: info, runs: map[Ref]*booking{}}
+	return &Worker{WorkerInfo: info, runs: map[Ref]*allocation{}}
 }
 
 // free returns the capacity that is not allocated.
-func (w *Worker) free() jobs.Size { return w.Capacity.Minus(w.booked) }
+func (w *Worker) free() jobs.Size { return w.Capacity.Minus(w.allocated) }
 
 // demand returns the capacity that is allocated for a task of the step.
-func (s Step) charge() jobs.Size {
+func (s Step) demand() jobs.Size {
 	size := s.Size
 	if s.Fills {
 		size.CPU = 0
@@ -66,9 +66,9 @@
 }
 
 // slots returns how many tasks of a size fit into free capacity, up to limit.
-func slots(room, size jobs.Size, most int) int {
-	n := most
-	for _, d := range [...][2]int64{{room.CPU, size.CPU}, {room.Mem, size.Mem}, {room.Accel, size.Accel}} {
+func slots(free, size jobs.Size, limit int) int {
+	n := limit
+	for _, d := range [...][2]int64{{free.CPU, size.CPU}, {free.Mem, size.Mem}, {free.Accel, size.Accel}} {
 		if d[1] > 0 {
 			n = min(n, int(max(d[0], 0)/d[1]))
 		}
@@ -86,9 +86,9 @@
 }
 
 // allocate adds an allocation.
-func (w *Worker) book(b *booking) {
-	w.runs[b.ref] = b
-	w.booked = w.booked.Plus(b.size)
+func (w *Worker) allocate(a *allocation) {
+	w.runs[a.ref] = a
+	w.allocated = w.allocated.Plus(a.size)
 }
 
 // Audit checks the allocation totals of workers and teams against the sums of
@@ -97,15 +97,15 @@
 	used := map[string]jobs.Size{}
 	for _, w := range p.workers {
 		var sum jobs.Size
-		for ref, b := range w.runs {
-			sum = sum.Plus(b.size)
-			used[b.team] = used[b.team].Plus(b.size)
-			if b.ref != ref {
-				return merry.Errorf("allocation of %s is stored under %s", b.ref, ref)
+		for ref, a := range w.runs {
+			sum = sum.Plus(a.size)
+			used[a.team] = used[a.team].Plus(a.size)
+			if a.ref != ref {
+				return merry.Errorf("allocation of %s is stored under %s", a.ref, ref)
 			}
 		}
-		if sum != w.booked {
-			return merry.Errorf("worker %s: total allocation is %s, but its runs add up to %s", w.ID, w.booked, sum)
+		if sum != w.allocated {
+			return merry.Errorf("worker %s: total allocation is %s, but its runs add up to %s", w.ID, w.allocated, sum)
 		}
 	}
 	for team, size := range p.used {
@@ -118,12 +118,12 @@
 
 // release removes the allocation of a task and returns it, or nil if there was
 // none.
-func (w *Worker) release(r Ref) *booking {
-	b := w.runs[r]
-	if b == nil {
+func (w *Worker) release(r Ref) *allocation {
+	a := w.runs[r]
+	if a == nil {
 		return nil
 	}
 	delete(w.runs, r)
-	w.booked = w.booked.Minus(b.size)
-	return b
+	w.allocated = w.allocated.Minus(a.size)
+	return a
 }
