--- a/internal/cell/sched/late.go
+++ b/internal/cell/sched/late.go
@@ -83,7 +83,7 @@
 		for step := range j.Spec.Steps {
 			for i, t := range j.stepTasks(occ, step) {
 				ref := Ref{id, occ, step, i}
-				out += fmt.Sprintf("\n%s state %d run %d fails %d worker %q", ref, t.State, t.Run, t.Fails, t.Worker)
+				out += fmt.Sprintf("\n%s state %d run %d fails %d worker %q", ref, t.State, t.Run, t.Failures, t.Worker)
 				if w := p.workers[t.Worker]; w != nil && w.runs[ref] != nil {
 					a := w.runs[ref]
 					out += fmt.Sprintf(" allocated run %d phase %d stopping %v", a.run, a.phase, a.stopping)
--- a/internal/cell/sched/load_test.go
+++ b/internal/cell/sched/load_test.go
@@ -125,8 +125,9 @@
 	}
 }
 
-// TestLargeBatch accepts more jobs than fit into one batch. All of them must be
-// in some batch, and only the last batch may be complete.
+// TestLargeBatch accepts more jobs than fit into one batch. A batch may be complete
+// only if all of them are in it or in an earlier one. Otherwise a job counts as
+// stored before its record is.
 func TestLargeBatch(t *testing.T) {
 	now := Instant{Ms: 1000, Wall: 1000}
 	p := NewPlanner(Config{State: NewState(), LeaseMs: 8_000, KeepMs: 60_000}, now)
--- a/internal/cell/sched/planner.go
+++ b/internal/cell/sched/planner.go
@@ -20,7 +20,7 @@
 //
 // # Usage
 //
-//	p := sched.NewPlanner(sched.Config{State: state, LeaseMs: 8000})
+//	p := sched.NewPlanner(sched.Config{State: state, LeaseMs: 8000}, now)
 //	p.Accept(spec, now)
 //	plan := p.Plan(hosts, now)     // allocates capacity
 //	batch, err := p.TakeDirty(now) // records to append
--- a/internal/cell/sched/report.go
+++ b/internal/cell/sched/report.go
@@ -409,9 +409,9 @@
 		si.failedRun = f.Run
 		p.breakGang(ref)
 	}
-	counted.Fails++
+	counted.Failures++
 	attempts := p.view.Queues[j.Spec.Queue].Attempts
-	if !s.Lasts && attempts > 0 && counted.Fails >= attempts && j.Progress.Verdict == Open {
+	if !s.Lasts && attempts > 0 && counted.Failures >= attempts && j.Progress.Verdict == Open {
 		p.endJob(j, JobFailed, now)
 	}
 }
--- a/internal/cell/sched/types.go
+++ b/internal/cell/sched/types.go
@@ -53,12 +53,12 @@
 
 // Task is the stored record of one task.
 type Task struct {
-	State  TaskState
-	Run    int    // highest run number used
-	Fails  int    // number of failed runs
-	Saved  string // latest checkpoint
-	Worker string // worker of the latest run
-	Born   int64  // incarnation of that worker
+	State    TaskState
+	Run      int    // highest run number used
+	Failures int    // number of failed runs
+	Saved    string // latest checkpoint
+	Worker   string // worker of the latest run
+	Born     int64  // incarnation of that worker
 }
 
 // Verdict is the final state of a job, Open while it has none.
