--- a/internal/cell/sched/late.go
+++ b/internal/cell/sched/late.go
@@ -5,55 +5,58 @@
 	"sort"
 )
 
-// Late says why a part still waits: for each reason, how many workers.
+// Late explains why a step instance is still waiting. Unusable to NoTicket count
+// the workers that are ruled out for each reason.
 type Late struct {
 	Step      string
 	WaitMs    int64
-	Idle      int // tasks that wait
-	Unusable  int // gone, silent, draining, distrusted, of another service or without the label
-	Unasked   int // advice has not been asked about them
-	Denied    int // advice does not allow them
-	NoRoom    int
-	NoTicket  int
-	Slots     int // tasks that could start now
-	OverLimit bool
-	Asked     bool // a question for advice is under way
-	Kept      int  // workers kept for this part, a gang
+	Idle      int  // waiting tasks
+	Unusable  int  // unregistered, unreachable, draining, quarantined, in a closed zone, of another pool or without the label
+	Unasked   int  // no advice about them
+	Denied    int  // denied by advice
+	NoRoom    int  // without free capacity
+	NoTicket  int  // allowed, but the ticket has expired
+	Slots     int  // tasks that could start now
+	OverLimit bool // the team's quota does not cover all waiting tasks
+	Asked     bool // an advice request has no reply yet
+	Kept      int  // workers reserved for this gang
 }
 
-// Late explains up to most parts that have waited for longer than afterMs, the
-// oldest first.
+// Late explains up to most step instances that have been ready for longer than
+// afterMs, the oldest first.
 func (p *Planner) Late(afterMs int64, most int, now Instant) []Late {
-	var list []*part
-	for _, pt := range p.waiting {
-		if now.Ms-pt.readyMs > afterMs && p.timely(pt, now) {
-			list = append(list, pt)
+	var list []*stepInstance
+	for _, si := range p.waiting {
+		if now.Ms-si.readyMs > afterMs && p.occurrenceDue(si, now) {
+			list = append(list, si)
 		}
 	}
 	sort.Slice(list, func(a, b int) bool { return list[a].readyMs < list[b].readyMs })
 	var out []Late
-	for _, pt := range list[:min(most, len(list))] {
-		out = append(out, p.explain(pt, now))
+	for _, si := range list[:min(most, len(list))] {
+		out = append(out, p.explain(si, now))
 	}
 	return out
 }
 
-func (p *Planner) explain(pt *part, now Instant) Late {
-	_, idle := count(pt.tasks())
-	e := Late{Step: pt.name(), WaitMs: now.Ms - pt.readyMs, Idle: idle, Asked: pt.advice.asked > 0}
-	e.OverLimit = len(p.withinLimit(pt, make([]int, idle))) < idle
-	advised := p.queue(pt).Advice != nil
+// explain counts, for a step instance, the workers by the reason that rules them
+// out.
+func (p *Planner) explain(si *stepInstance, now Instant) Late {
+	_, idle := countTasks(si.tasks())
+	e := Late{Step: si.stepName(), WaitMs: now.Ms - si.readyMs, Idle: idle, Asked: si.advice.requested > 0}
+	e.OverLimit = len(p.withinLimit(si, make([]int, idle))) < idle
+	advised := p.queue(si).Advice != nil
 	for id, w := range p.workers {
-		if w.keeps(pt.key(), now) {
+		if w.reservedFor(si.key(), now) {
 			e.Kept++
 		}
-		g, asked := pt.advice.grants[id]
-		n := p.roomFor(pt, w, idle, now)
-		_, ticket := p.ticket(w, pt, now)
+		g, requested := si.advice.grants[id]
+		n := p.slotsFor(si, w, idle, now)
+		_, ticket := p.ticket(w, si, now)
 		switch {
-		case !p.usable(w, pt, now):
+		case !p.usable(w, si, now):
 			e.Unusable++
-		case advised && !asked:
+		case advised && !requested:
 			e.Unasked++
 		case advised && !g.allowed:
 			e.Denied++
@@ -68,7 +71,8 @@
 	return e
 }
 
-// Describe returns a job's progress and where its tasks are booked, for people.
+// Describe returns the progress and the allocations of a job as text for
+// debugging.
 func (p *Planner) Describe(id string) string {
 	j := p.state.Jobs[id]
 	if j == nil {
@@ -79,10 +83,10 @@
 		for step := range j.Spec.Steps {
 			for i, t := range j.stepTasks(occ, step) {
 				ref := Ref{id, occ, step, i}
-				out += fmt.Sprintf("\n%s state %d run %d fails %d worker %q", ref, t.State, t.Run, t.Fails, t.Worker)
+				out += fmt.Sprintf("\n%s state %d run %d fails %d worker %q", ref, t.State, t.Run, t.Failures, t.Worker)
 				if w := p.workers[t.Worker]; w != nil && w.runs[ref] != nil {
-					b := w.runs[ref]
-					out += fmt.Sprintf(" booked run %d phase %d stopping %v", b.run, b.phase, b.stopping)
+					a := w.runs[ref]
+					out += fmt.Sprintf(" allocated run %d phase %d stopping %v", a.run, a.phase, a.stopping)
 				}
 			}
 		}
--- a/internal/cell/sched/load_test.go
+++ b/internal/cell/sched/load_test.go
@@ -10,13 +10,13 @@
 	"lagooncourse/internal/cell/jobs"
 )
 
-// noDesks never takes a question.
-type noDesks struct{}
+// noHosts has no free host for advice requests.
+type noHosts struct{}
 
-func (noDesks) Idle() bool                  { return false }
-func (noDesks) Take(float64) (string, bool) { return "", false }
+func (noHosts) Idle() bool                  { return false }
+func (noHosts) Take(float64) (string, bool) { return "", false }
 
-// fleet returns a planner with n workers of 32 cores that are all in contact.
+// fleet returns a planner with n reachable workers of 32 cores.
 func fleet(n int, now Instant) *Planner {
 	p := NewPlanner(Config{State: NewState(), LeaseMs: 8_000, KeepMs: 60_000}, now)
 	p.SetView(View{Queues: map[string]Queue{
@@ -31,12 +31,13 @@
 	return p
 }
 
-// TestNoStarvation was seen as LOST 668 on fwl-numbering-grown, trouble-3: more
-// parts without room than one plan looks at stood before those with room.
+// TestNoStarvation guards against starvation behind step instances that fit
+// nowhere: if more of them than one plan tries come first in the order, the
+// steps that do fit must still start.
 func TestNoStarvation(t *testing.T) {
 	now := Instant{Ms: 1000, Wall: 1000}
 	p := fleet(2, now)
-	for i := range 2 * mostTried {
+	for i := range 2 * maxPlanSteps {
 		spec := Spec{ID: fmt.Sprintf("a%04d", i), Queue: "urgent", AtMs: now.Wall, Steps: []Step{{Count: 1, Size: jobs.Size{CPU: 33_000}, EstimateMs: 100}}}
 		p.Accept(spec, now)
 	}
@@ -44,14 +45,14 @@
 	var starts []Start
 	for range 4 {
 		now.Ms, now.Wall = now.Ms+2, now.Wall+2
-		starts = append(starts, p.Plan(noDesks{}, now).Starts...)
+		starts = append(starts, p.Plan(noHosts{}, now).Starts...)
 	}
 	assert.Equal(t, len(starts), 1)
 	assert.Equal(t, starts[0].Ref.Job, "b")
 }
 
-// TestUrgentUnderLoad plays twice the load that fits, half of it urgent: urgent
-// work is placed within 20 ms of a slot becoming free, and most of it in time.
+// TestUrgentUnderLoad simulates twice the load that the fleet can run, half of it
+// urgent. At least 90% of the urgent jobs must meet their deadline.
 func TestUrgentUnderLoad(t *testing.T) {
 	now := Instant{Ms: 1000, Wall: 1000}
 	p := fleet(4, now)
@@ -65,7 +66,7 @@
 	const stepMs, seconds = 5, 20
 	for tick := range seconds * 1000 / stepMs {
 		now.Ms, now.Wall = now.Ms+stepMs, now.Wall+stepMs
-		if tick%20 == 0 { // 10 a second of each
+		if tick%20 == 0 { // 10 jobs a second in each queue
 			for _, q := range []string{"urgent", "wide"} {
 				spec := Spec{ID: fmt.Sprintf("%s%05d", q, tick), Queue: q, AtMs: now.Wall, Steps: []Step{{Count: 2, Size: jobs.Size{CPU: 8_000}, EstimateMs: 800}}}
 				p.Accept(spec, now)
@@ -82,7 +83,7 @@
 			ends[r.start.Ref.Job] = now.Wall
 		}
 		running = rest
-		plan := p.Plan(noDesks{}, now)
+		plan := p.Plan(noHosts{}, now)
 		b, err := p.TakeDirty(now)
 		assert.NilError(t, err)
 		p.Stored(b)
@@ -105,7 +106,7 @@
 	assert.NilError(t, p.Audit())
 }
 
-// BenchmarkPlan measures what a placement costs at three sizes of a fleet.
+// BenchmarkPlan measures the placement of one task at three fleet sizes.
 func BenchmarkPlan(b *testing.B) {
 	for _, n := range []int{48, 350, 3200} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -114,7 +115,7 @@
 			for i := range b.N {
 				spec := Spec{ID: fmt.Sprintf("%08d", i), Queue: "urgent", AtMs: now.Wall, Steps: []Step{{Count: 1, Size: jobs.Size{CPU: 1000}, EstimateMs: 500}}}
 				p.Accept(spec, now)
-				plan := p.Plan(noDesks{}, now)
+				plan := p.Plan(noHosts{}, now)
 				for _, s := range plan.Starts {
 					w := p.workers[s.Worker]
 					p.release(w, s.Ref)
@@ -124,8 +125,9 @@
 	}
 }
 
-// TestLargeBatch has more acceptances than one append carries: none is taken
-// for stored before its record is.
+// TestLargeBatch accepts more jobs than fit into one batch. A batch may be complete
+// only if all of them are in it or in an earlier one. Otherwise a job counts as
+// stored before its record is.
 func TestLargeBatch(t *testing.T) {
 	now := Instant{Ms: 1000, Wall: 1000}
 	p := NewPlanner(Config{State: NewState(), LeaseMs: 8_000, KeepMs: 60_000}, now)
@@ -150,14 +152,14 @@
 	}
 }
 
-// allDesks takes every question.
-type allDesks struct{}
+// allHosts always has a free host for advice requests.
+type allHosts struct{}
 
-func (allDesks) Idle() bool                  { return true }
-func (allDesks) Take(float64) (string, bool) { return "d", true }
+func (allHosts) Idle() bool                  { return true }
+func (allHosts) Take(float64) (string, bool) { return "d", true }
 
-// backlog returns a planner whose fleet is full, with n gangs, n wide steps and n
-// urgent jobs that wait.
+// backlog returns a planner with n waiting jobs of each kind: gangs, wide steps
+// and urgent jobs.
 func backlog(workers, n int, now Instant) *Planner {
 	p := fleet(workers, now)
 	p.SetView(View{Queues: map[string]Queue{
@@ -177,8 +179,8 @@
 	return p
 }
 
-// BenchmarkBacklog measures a plan while a fleet is full and work of all kinds
-// waits.
+// BenchmarkBacklog measures a plan while the fleet is full and jobs of all kinds
+// wait.
 func BenchmarkBacklog(b *testing.B) {
 	for _, n := range []int{48, 350, 3200} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -186,7 +188,7 @@
 			p := backlog(n, 2*n, now)
 			for range b.N {
 				now.Ms, now.Wall = now.Ms+5, now.Wall+5
-				plan := p.Plan(allDesks{}, now)
+				plan := p.Plan(allHosts{}, now)
 				for _, w := range plan.Wants {
 					tickets := map[string]string{}
 					for i, id := range w.Workers {
--- a/internal/cell/sched/order.go
+++ b/internal/cell/sched/order.go
@@ -5,45 +5,45 @@
 	"sort"
 )
 
-// rank says how much a part that waits is still worth. Work that can still be
-// in time goes first; what can only be late, or came beyond the share of its
-// team, yields to it, and what has lost all its worth comes last. Without this
-// order a backlog makes everything late, and stays.
+// rank is the first sort key of waiting step instances. Those that can meet their
+// deadline come first, then late ones, then those in excess of their team's rate,
+// and last those that are too late to be of use. Ordered by age alone, a backlog
+// would make all jobs late and would not drain.
 type rank uint8
 
 const (
-	rankInTime rank = iota // can end by its due time
-	rankLate               // can end while a late end is still worth something
-	rankExcess             // its team sends more than its weight
-	rankLost               // too late to be worth anything
+	rankOnTime  rank = iota // can meet its deadline
+	rankLate                // will miss its deadline, but end within lateFactor
+	rankExcess              // submitted in excess of its team's rate
+	rankExpired             // too late to be of use
 )
 
-// lateFactor is how many times its objective a job may take before its end is
-// worth nothing.
+// lateFactor times the time from the due time of a job to its deadline is the
+// time after which its result is of no use.
 const lateFactor = 3
 
-// standing is a part's place in the order.
-type standing struct {
-	pt       *part
-	rank     rank
-	priority int
-	due      int64
+// rankedStep is a step instance with its sort keys.
+type rankedStep struct {
+	si         *stepInstance
+	rank       rank
+	priority   int
+	deadlineMs int64
 }
 
-// before orders by rank, priority and due time.
-func (s *standing) before(o *standing) bool {
+// before orders by rank, priority and deadline.
+func (s *rankedStep) before(o *rankedStep) bool {
 	switch {
 	case s.rank != o.rank:
 		return s.rank < o.rank
 	case s.priority != o.priority:
 		return s.priority < o.priority
-	case s.due != o.due:
-		return s.due < o.due
+	case s.deadlineMs != o.deadlineMs:
+		return s.deadlineMs < o.deadlineMs
 	}
-	return s.pt.key().less(o.pt.key())
+	return s.si.key().less(o.si.key())
 }
 
-func (k partKey) less(o partKey) bool {
+func (k stepKey) less(o stepKey) bool {
 	switch {
 	case k.job != o.job:
 		return k.job < o.job
@@ -53,36 +53,37 @@
 	return k.step < o.step
 }
 
-// standing computes a part's place, and keeps its rank.
-func (p *Planner) standing(pt *part, now Instant) standing {
-	q := p.queue(pt)
-	s := standing{pt: pt, priority: q.Priority, due: pt.due}
-	end := now.Wall + p.remaining(pt)
-	late := pt.from + lateFactor*(pt.due-pt.from)
+// rankedStep computes the sort keys of a step instance and stores its rank.
+func (p *Planner) rankedStep(si *stepInstance, now Instant) rankedStep {
+	q := p.queue(si)
+	s := rankedStep{si: si, priority: q.Priority, deadlineMs: si.deadlineMs}
+	end := now.Wall + p.remaining(si)
+	late := si.dueMs + lateFactor*(si.deadlineMs-si.dueMs)
 	switch {
 	case end > late:
-		s.rank = rankLost
-	case pt.job.Spec.Excess:
+		s.rank = rankExpired
+	case si.job.Spec.Excess:
 		s.rank = rankExcess
-	case end > pt.due:
+	case end > si.deadlineMs:
 		s.rank = rankLate
 	}
-	pt.rank = s.rank
+	si.rank = s.rank
 	return s
 }
 
-// remaining is how long the part's step and those after it will take.
-func (p *Planner) remaining(pt *part) int64 {
+// remaining estimates the total run time of a step and the steps that depend on
+// it, in ms.
+func (p *Planner) remaining(si *stepInstance) int64 {
 	var ms int64
-	for i := pt.step; i < len(pt.job.Spec.Steps); i++ {
-		if i == pt.step || dependsOn(pt.job.Spec.Steps, i, pt.step) {
-			ms += p.learned.runMs(pt.job.Spec.Queue, pt.job.Spec.Steps[i])
+	for i := si.step; i < len(si.job.Spec.Steps); i++ {
+		if i == si.step || dependsOn(si.job.Spec.Steps, i, si.step) {
+			ms += p.estimator.runMs(si.job.Spec.Queue, si.job.Spec.Steps[i])
 		}
 	}
 	return ms
 }
 
-// dependsOn reports whether step i waits for step on, directly or not.
+// dependsOn reports whether step i depends on step on, directly or indirectly.
 func dependsOn(steps []Step, i, on int) bool {
 	for _, d := range steps[i].After {
 		if d == on || d > on && dependsOn(steps, d, on) {
@@ -92,31 +93,32 @@
 	return false
 }
 
-// worst is a heap whose root goes last.
-type worst []standing
+// rankHeap is a heap whose root is the last in order.
+type rankHeap []rankedStep
 
-func (h worst) Len() int           { return len(h) }
-func (h worst) Less(a, b int) bool { return h[b].before(&h[a]) }
-func (h worst) Swap(a, b int)      { h[a], h[b] = h[b], h[a] }
-func (h *worst) Push(x any)        { *h = append(*h, x.(standing)) }
-func (h *worst) Pop() any {
+func (h rankHeap) Len() int           { return len(h) }
+func (h rankHeap) Less(a, b int) bool { return h[b].before(&h[a]) }
+func (h rankHeap) Swap(a, b int)      { h[a], h[b] = h[b], h[a] }
+func (h *rankHeap) Push(x any)        { *h = append(*h, x.(rankedStep)) }
+func (h *rankHeap) Pop() any {
 	old := *h
 	x := old[len(old)-1]
 	*h = old[:len(old)-1]
 	return x
 }
 
-// first returns the n parts that go first, in order. Parts that rest are passed
-// over, so that a front of parts without room does not starve what is behind.
-func (p *Planner) first(n int, now Instant) []*part {
-	h := make(worst, 0, min(n, len(p.waiting)))
-	for _, pt := range p.waiting {
-		if now.Ms < pt.restMs || !p.timely(pt, now) {
+// firstSteps returns the first n waiting step instances, in order. It skips
+// those whose retry is not due, so that many step instances without capacity at the front
+// do not starve the ones behind them.
+func (p *Planner) firstSteps(n int, now Instant) []*stepInstance {
+	h := make(rankHeap, 0, min(n, len(p.waiting)))
+	for _, si := range p.waiting {
+		if now.Ms < si.retryMs || !p.occurrenceDue(si, now) {
 			continue
 		}
-		s := p.standing(pt, now)
-		if s.rank == rankLost {
-			pt.restMs = now.Ms + lostRestMs
+		s := p.rankedStep(si, now)
+		if s.rank == rankExpired {
+			si.retryMs = now.Ms + expiredRetryMs
 		}
 		if len(h) < n {
 			heap.Push(&h, s)
@@ -128,32 +130,31 @@
 		}
 	}
 	sort.Slice(h, func(a, b int) bool { return h[a].before(&h[b]) })
-	list := make([]*part, len(h))
+	list := make([]*stepInstance, len(h))
 	for i := range h {
-		list[i] = h[i].pt
+		list[i] = h[i].si
 	}
 	return list
 }
 
-// bucket counts how many jobs a team has sent against its weight, which is in
-// jobs a second.
-type bucket struct {
+// tokenBucket limits the rate of a team's jobs to its weight, in jobs a second.
+type tokenBucket struct {
 	tokens float64
 	atMs   int64
 }
 
-// bucketSeconds is the size of a bucket, in seconds of the team's weight.
+// bucketSeconds is the burst size of a bucket, in seconds of the team's weight.
 const bucketSeconds = 2
 
-// excess takes a token and reports whether there was none.
-func (p *Planner) excess(team string, now Instant) bool {
+// exceedsRate takes a token of the team and reports whether there was none.
+func (p *Planner) exceedsRate(team string, now Instant) bool {
 	weight := float64(p.view.Teams[team].Weight)
 	if weight <= 0 {
 		return false
 	}
 	b := p.buckets[team]
 	if b == nil {
-		b = &bucket{tokens: weight * bucketSeconds, atMs: now.Ms}
+		b = &tokenBucket{tokens: weight * bucketSeconds, atMs: now.Ms}
 		p.buckets[team] = b
 	}
 	b.tokens = min(b.tokens+weight*float64(now.Ms-b.atMs)/1000, weight*bucketSeconds)
--- a/internal/cell/sched/planner.go
+++ b/internal/cell/sched/planner.go
@@ -1,27 +1,31 @@
-// Package sched decides what runs where: it keeps the accepted jobs, books
-// room on workers, orders waiting steps, and turns what workers report into
-// the next state of each job.
+// Package sched places the tasks of accepted jobs on workers. It keeps the
+// accepted jobs, allocates worker capacity, orders the waiting steps, and
+// derives the next state of each job from the reports of the workers.
 //
-// A Planner belongs to the one owner of the jobs' topic. It has no clock, no
-// sockets and no goroutines: instants and answers go in, decisions come out.
-// Three invariants hold everything together:
+// A Planner belongs to the single owner of the job topic. It has no clock, no
+// sockets and no goroutines: its callers pass in the time and all replies, and
+// act on what it returns. It maintains three invariants:
 //
-//   - A run is sent only after the intent to run it is stored, so a successor
-//     knows every run that can exist.
-//   - Room is booked before the intent and released only when the worker lists
-//     the end of the run, denies the run for good, or has surely lost it.
-//   - A task gets a new run only when its last one has been settled.
+//   - A start is sent only after the intent to start it is stored, so the
+//     records name every run that can exist when another owner takes over.
+//   - Capacity is allocated before the intent is stored. It is released only
+//     when the run has ended or can no longer exist: the start was not sent, or
+//     the worker lists the end, refuses the start, omits the run from a list
+//     requested after a confirmed stop, restarts, or loses its lease.
+//   - A task gets a new run only after its previous run has been settled.
 //
-// Rejected way: starting before the intent is stored. It saves one append, and
-// makes a successor hold back every waiting task while one worker is silent.
+// Starting a run before its intent is stored would save one append. But after
+// a takeover, the new owner would have to hold back every waiting task as long
+// as one worker does not answer.
 //
 // # Usage
 //
-//	p := sched.NewPlanner(sched.Config{State: state, LeaseMs: 8000})
+//	p := sched.NewPlanner(sched.Config{State: state, LeaseMs: 8000}, now)
 //	p.Accept(spec, now)
-//	plan := p.Plan(now)           // books room; plan.Starts wait for the store
-//	batch, err := p.TakeDirty()   // records to append
-//	p.Stored(batch)               // then the starts may be sent
+//	plan := p.Plan(hosts, now)     // allocates capacity
+//	batch, err := p.TakeDirty(now) // records to append
+//	p.Stored(batch)                // after the append
+//	send := p.Release(plan.Starts, now)
 //	p.Started(start, sched.StartUp, now)
 //	p.Listed("w1", lists, now)
 package sched
@@ -33,124 +37,126 @@
 	"lagooncourse/internal/cell/trust"
 )
 
-// Instant is a moment by both clocks.
+// Instant is a point in time on both clocks.
 type Instant struct {
-	Ms   int64 // steady clock of the process, in ms
-	Wall int64 // ms since 1970
+	Ms   int64 // monotonic clock of the process, in ms
+	Wall int64 // wall clock, in ms since 1970
 }
 
-// Limit is what a team may have running and its share.
+// Limit is the quota and the weight of a team.
 type Limit struct {
 	Max    jobs.Size // 0 in a dimension means no limit
-	Weight int64
+	Weight int64     // jobs a second; 0 means no limit
 }
 
-// View is what the configuration and the operators say.
+// View is the current configuration, including the changes made by operators.
 type View struct {
 	Queues map[string]Queue
 	Teams  map[string]Limit
 	Closed map[string]bool // availability zones out of service
 }
 
-// Config describes a Planner.
+// Config holds the parameters of a Planner.
 type Config struct {
 	State      *State
-	SilenceMs  int64 // after a claim, how long an earlier owner may have renewed leases
-	LeaseMs    int64 // of a renewal
-	LeaseMaxMs int64 // longest lease that a worker grants, whatever is asked for
-	KeepMs     int64 // how long an ended job is remembered
+	SilenceMs  int64 // how long after a claim the previous owner may still renew leases
+	LeaseMs    int64 // lease that a renewal asks for
+	LeaseMaxMs int64 // longest lease that a worker grants
+	KeepMs     int64 // how long an ended job is retained
 }
 
-// Bounds and margins.
+// Limits of lease expiry.
 const (
-	clockDrift    = 0.03 // a worker's clock may be 2% slow; 1% for our own
-	leaseMarginMs = 300  // delay between a call's departure and its effect
+	clockDrift    = 0.03 // 2% for a slow worker clock and 1% for the clock of this process
+	leaseMarginMs = 300  // delay between the sending of a call and its effect
 )
 
-// part is one step of one occurrence of an open job.
-type part struct {
-	job     *Job
-	occ     int
-	step    int
-	from    int64 // since when its job has been owed, ms since 1970
-	due     int64 // by which the job should have ended, ms since 1970
-	readyMs int64 // steady instant from which it could run; 0 while it may not
-	advice  adviceState
-	restMs  int64 // found no room: it is not looked at before this instant
-	rank    rank  // when it was looked at last
-	vain    int   // tries since it was placed or advised last
-	failRun int   // run of a gang whose failure has been counted
-	queue   *Queue
-	viewNo  int // of the configuration from which queue was taken
+// stepInstance is one step of one occurrence of an open job.
+type stepInstance struct {
+	job         *Job
+	occ         int
+	step        int
+	dueMs       int64 // when the occurrence became due, in ms since 1970
+	deadlineMs  int64 // when the job should have ended, in ms since 1970
+	readyMs     int64 // monotonic time at which it became ready to run
+	advice      adviceState
+	retryMs     int64 // no placement is tried before this time
+	rank        rank  // result of the last ranking
+	failedTries int   // failed tries since the last start or advice
+	failedRun   int   // last run of a gang whose failure was counted
+	queue       *Queue
+	viewVersion int // version of the configuration that queue is from
 }
 
-func (pt *part) spec() Step    { return pt.job.Spec.Steps[pt.step] }
-func (pt *part) tasks() []Task { return pt.job.stepTasks(pt.occ, pt.step) }
-func (pt *part) ref(i int) Ref { return Ref{Job: pt.job.Spec.ID, Occ: pt.occ, Step: pt.step, Index: i} }
-func (pt *part) key() partKey  { return partKey{pt.job.Spec.ID, pt.occ, pt.step} }
-func (pt *part) name() string  { return pt.ref(0).StepName() }
+func (si *stepInstance) spec() Step    { return si.job.Spec.Steps[si.step] }
+func (si *stepInstance) tasks() []Task { return si.job.stepTasks(si.occ, si.step) }
+func (si *stepInstance) ref(i int) Ref {
+	return Ref{Job: si.job.Spec.ID, Occ: si.occ, Step: si.step, Index: i}
+}
+func (si *stepInstance) key() stepKey     { return stepKey{si.job.Spec.ID, si.occ, si.step} }
+func (si *stepInstance) stepName() string { return si.ref(0).StepName() }
 
-type partKey struct {
+type stepKey struct {
 	job  string
 	occ  int
 	step int
 }
 
-// Planner is the owner's view of jobs and workers. It is not safe for
-// concurrent use.
+// Planner holds the jobs and workers of one owner and decides which tasks run
+// where. It is not safe for concurrent use.
 type Planner struct {
-	cfg     Config
-	state   *State
-	view    View
-	queues  map[string]*Queue
-	viewNo  int // counts configurations
-	workers map[string]*Worker
-	used    map[string]jobs.Size // team -> booked
-	parts   map[partKey]*part
-	waiting map[partKey]*part // parts with a task that could be placed
-	dirty   map[string]bool   // jobs whose progress is not stored
-	fresh   []Spec            // accepted, not stored
-	durable map[string]Verdict
-	known   map[string]bool // jobs whose acceptance is stored
-	stops   []Stop
-	trust   *trust.Trust
-	good    map[string]*ratio // queue -> share of workers that advice allows
-	learned learned
-	buckets map[string]*bucket // team -> jobs sent against its weight
-	ended   []endedJob
+	cfg            Config
+	state          *State
+	view           View
+	queues         map[string]*Queue
+	viewVersion    int // number of configurations set so far
+	workers        map[string]*Worker
+	used           map[string]jobs.Size // allocated, by team
+	steps          map[stepKey]*stepInstance
+	waiting        map[stepKey]*stepInstance // step instances with a task that is ready to be placed
+	dirty          map[string]bool           // jobs whose latest progress is not in a batch yet
+	newSpecs       []Spec                    // accepted jobs that are not in a batch yet
+	storedVerdicts map[string]Verdict        // verdicts that are stored, by job
+	storedJobs     map[string]bool           // jobs whose acceptance is stored
+	stops          []Stop
+	trust          *trust.Trust
+	allowedShares  map[string]*allowedShare // share of the workers that advice allows, by queue
+	estimator      estimator
+	buckets        map[string]*tokenBucket // by team
+	ended          []endedJob              // by time of their end
 }
 
 type endedJob struct {
-	id string
-	at int64 // steady ms
+	id   string
+	atMs int64 // monotonic, in ms
 }
 
-// NewPlanner returns the planner of an owner that has read all records.
-// Placed tasks are looked for on their workers before anything else happens
-// to them.
+// NewPlanner returns a planner for an owner that has read all records. Tasks
+// in state Placed are adopted: they keep their allocation until their worker
+// has listed its runs or its lease has expired.
 func NewPlanner(cfg Config, now Instant) *Planner {
 	p := &Planner{
 		cfg: cfg, state: cfg.State, workers: map[string]*Worker{}, used: map[string]jobs.Size{},
-		parts: map[partKey]*part{}, waiting: map[partKey]*part{}, dirty: map[string]bool{},
-		durable: map[string]Verdict{}, known: map[string]bool{}, trust: trust.New(trust.Config{}), good: map[string]*ratio{},
-		learned: newLearned(), buckets: map[string]*bucket{},
+		steps: map[stepKey]*stepInstance{}, waiting: map[stepKey]*stepInstance{}, dirty: map[string]bool{},
+		storedVerdicts: map[string]Verdict{}, storedJobs: map[string]bool{}, trust: trust.New(trust.Config{}), allowedShares: map[string]*allowedShare{},
+		estimator: newEstimator(), buckets: map[string]*tokenBucket{},
 	}
 	for id, j := range cfg.State.Jobs {
-		p.known[id] = true
-		p.durable[id] = j.Progress.Verdict
+		p.storedJobs[id] = true
+		p.storedVerdicts[id] = j.Progress.Verdict
 		p.adopt(j, now)
 		if j.Progress.Verdict != Open {
-			p.stopAll(j)
+			p.stopJob(j)
 			p.ended = append(p.ended, endedJob{id, now.Ms - max(now.Wall-j.Progress.EndMs, 0)})
 			continue
 		}
-		p.open(j, now)
+		p.addSteps(j, now)
 	}
-	sort.Slice(p.ended, func(a, b int) bool { return p.ended[a].at < p.ended[b].at })
+	sort.Slice(p.ended, func(a, b int) bool { return p.ended[a].atMs < p.ended[b].atMs })
 	return p
 }
 
-// adopt books the placed tasks of a job where they were placed.
+// adopt allocates capacity for the tasks of a job that are in state Placed.
 func (p *Planner) adopt(j *Job, now Instant) {
 	for occ := range j.occurrences() {
 		for step, s := range j.Spec.Steps {
@@ -162,83 +168,84 @@
 				if w == nil {
 					w = p.addWorker(WorkerInfo{ID: t.Worker, Born: t.Born}, now)
 				}
-				p.book(w, &booking{
-					ref: Ref{j.Spec.ID, occ, step, i}, run: t.Run, size: s.charge(), team: j.Spec.Team,
-					phase: phaseAdopted, sinceMs: now.Ms, runMs: s.EstimateMs, endMs: now.Ms + s.EstimateMs,
+				p.allocate(w, &allocation{
+					ref: Ref{j.Spec.ID, occ, step, i}, run: t.Run, size: s.demand(), team: j.Spec.Team,
+					phase: phaseAdopted, phaseStartMs: now.Ms, runMs: s.EstimateMs, endMs: now.Ms + s.EstimateMs,
 				})
 			}
 		}
 	}
 }
 
-// addWorker adds a worker that has not been fenced yet: an earlier owner may go
-// on renewing its lease for a while.
+// addWorker adds a worker that is not fenced yet: a previous owner may still
+// renew its lease for SilenceMs.
 func (p *Planner) addWorker(info WorkerInfo, now Instant) *Worker {
 	w := newWorker(info)
-	w.sureMs = now.Ms + p.cfg.SilenceMs + p.leaseBound()
+	w.leaseExpiryMs = now.Ms + p.cfg.SilenceMs + p.leaseBound()
 	p.workers[info.ID] = w
 	return w
 }
 
-// leaseBound is how long after a renewal was sent its lease may last.
-func (p *Planner) leaseBound() int64 { return bound(p.cfg.LeaseMs) }
+// leaseBound returns how long a lease may last after its renewal was sent, in ms.
+func (p *Planner) leaseBound() int64 { return elapsedBound(p.cfg.LeaseMs) }
 
-// longestBound is how long the longest lease that a worker grants may last.
-func (p *Planner) longestBound() int64 { return bound(max(p.cfg.LeaseMaxMs, p.cfg.LeaseMs)) }
+// maxLeaseBound is leaseBound for the longest lease that a worker grants.
+func (p *Planner) maxLeaseBound() int64 { return elapsedBound(max(p.cfg.LeaseMaxMs, p.cfg.LeaseMs)) }
 
-// bound is how long a lease of ms on a worker's clock may last on ours.
-func bound(ms int64) int64 { return ms + int64(float64(ms)*clockDrift) + leaseMarginMs }
+// elapsedBound returns how long a lease of ms on a worker's clock may last on
+// the clock of this process.
+func elapsedBound(ms int64) int64 { return ms + int64(float64(ms)*clockDrift) + leaseMarginMs }
 
-func (p *Planner) book(w *Worker, b *booking) {
-	w.book(b)
-	p.used[b.team] = p.used[b.team].Plus(b.size)
+func (p *Planner) allocate(w *Worker, a *allocation) {
+	w.allocate(a)
+	p.used[a.team] = p.used[a.team].Plus(a.size)
 }
 
 func (p *Planner) release(w *Worker, r Ref) {
-	if b := w.release(r); b != nil {
-		p.used[b.team] = p.used[b.team].Minus(b.size)
+	if a := w.release(r); a != nil {
+		p.used[a.team] = p.used[a.team].Minus(a.size)
 	}
 }
 
-// open makes the parts of a job known to the queue.
-func (p *Planner) open(j *Job, now Instant) {
+// addSteps adds the step instances of an open job.
+func (p *Planner) addSteps(j *Job, now Instant) {
 	for occ := range j.occurrences() {
 		for step := range j.Spec.Steps {
-			pt := &part{job: j, occ: occ, step: step}
-			p.parts[pt.key()] = pt
+			si := &stepInstance{job: j, occ: occ, step: step}
+			p.steps[si.key()] = si
 		}
 	}
 	p.refresh(j, now)
 }
 
-// refresh finds out which parts of an open job could run, and whether the job
-// has ended.
+// refresh recomputes which step instances of an open job are ready, and ends
+// the job if all its tasks are done or it was cancelled.
 func (p *Planner) refresh(j *Job, now Instant) {
 	if j.Progress.Verdict != Open {
 		return
 	}
 	if j.Progress.Cancel {
-		p.end(j, Cancelled, now)
+		p.endJob(j, Cancelled, now)
 		return
 	}
-	all := true
+	allDone := true
 	for occ := range j.occurrences() {
 		for step, s := range j.Spec.Steps {
-			done, idle := count(j.stepTasks(occ, step))
+			done, idle := countTasks(j.stepTasks(occ, step))
 			if done == s.Count {
-				delete(p.waiting, partKey{j.Spec.ID, occ, step})
+				delete(p.waiting, stepKey{j.Spec.ID, occ, step})
 				continue
 			}
-			all = false
-			p.refreshPart(j, occ, step, idle, now)
+			allDone = false
+			p.refreshStep(j, occ, step, idle, now)
 		}
 	}
-	if all {
-		p.end(j, Completed, now)
+	if allDone {
+		p.endJob(j, Completed, now)
 	}
 }
 
-func count(tasks []Task) (done, idle int) {
+func countTasks(tasks []Task) (done, idle int) {
 	for _, t := range tasks {
 		switch t.State {
 		case Done:
@@ -250,50 +257,52 @@
 	return done, idle
 }
 
-func (p *Planner) refreshPart(j *Job, occ, step, idle int, now Instant) {
-	key := partKey{j.Spec.ID, occ, step}
-	pt := p.parts[key]
+// refreshStep marks a step instance as waiting if it is ready to be placed.
+func (p *Planner) refreshStep(j *Job, occ, step, idle int, now Instant) {
+	key := stepKey{j.Spec.ID, occ, step}
+	si := p.steps[key]
 	s := j.Spec.Steps[step]
-	could := idle > 0 && (!s.Gang || idle == s.Count)
+	ready := idle > 0 && (!s.Gang || idle == s.Count)
 	for _, d := range s.After {
-		done, _ := count(j.stepTasks(occ, d))
-		could = could && done == j.Spec.Steps[d].Count
+		done, _ := countTasks(j.stepTasks(occ, d))
+		ready = ready && done == j.Spec.Steps[d].Count
 	}
-	if !could {
+	if !ready {
 		delete(p.waiting, key)
 		return
 	}
-	pt.restMs = 0 // a run of its own has ended, and may have left room
+	si.retryMs = 0 // one of its runs may have ended and released capacity
 	if p.waiting[key] == nil {
-		pt.readyMs = now.Ms
-		p.schedule(pt)
-		p.waiting[key] = pt
+		si.readyMs = now.Ms
+		p.setDeadline(si)
+		p.waiting[key] = si
 	}
 }
 
-// schedule computes by when the part's job should have ended: its longest chain
-// of steps times the queue's factor, and the queue's latency more.
-func (p *Planner) schedule(pt *part) {
-	spec := pt.job.Spec
-	pt.from = spec.AtMs
+// setDeadline computes when the job should have ended: its due time, plus the
+// run time of its critical path times the queue's slack factor, plus the
+// queue's target latency.
+func (p *Planner) setDeadline(si *stepInstance) {
+	spec := si.job.Spec
+	si.dueMs = spec.AtMs
 	if spec.Times > 0 {
-		pt.from = spec.FirstMs + int64(pt.occ)*spec.EveryMs
+		si.dueMs = spec.FirstMs + int64(si.occ)*spec.EveryMs
 	}
 	q := p.view.Queues[spec.Queue]
 	ends := make([]int64, len(spec.Steps))
-	var chain int64
+	var criticalPath int64
 	for i, s := range spec.Steps {
 		for _, d := range s.After {
 			ends[i] = max(ends[i], ends[d])
 		}
-		ends[i] += p.learned.runMs(spec.Queue, s)
-		chain = max(chain, ends[i])
+		ends[i] += p.estimator.runMs(spec.Queue, s)
+		criticalPath = max(criticalPath, ends[i])
 	}
-	pt.due = pt.from + int64(q.Slack*float64(chain)) + q.TargetMs
+	si.deadlineMs = si.dueMs + int64(q.Slack*float64(criticalPath)) + q.TargetMs
 }
 
-// end gives a job its verdict and stops what still runs.
-func (p *Planner) end(j *Job, v Verdict, now Instant) {
+// endJob sets the verdict of a job and stops its remaining runs.
+func (p *Planner) endJob(j *Job, v Verdict, now Instant) {
 	j.Progress.Verdict = v
 	j.Progress.EndMs = now.Wall
 	id := j.Spec.ID
@@ -301,16 +310,16 @@
 	p.ended = append(p.ended, endedJob{id, now.Ms})
 	for occ := range j.occurrences() {
 		for step := range j.Spec.Steps {
-			key := partKey{id, occ, step}
+			key := stepKey{id, occ, step}
 			delete(p.waiting, key)
-			delete(p.parts, key)
+			delete(p.steps, key)
 		}
 	}
-	p.stopAll(j)
+	p.stopJob(j)
 }
 
-// stopAll asks for the end of every run of a job.
-func (p *Planner) stopAll(j *Job) {
+// stopJob requests a stop of every run of a job.
+func (p *Planner) stopJob(j *Job) {
 	for occ := range j.occurrences() {
 		for step := range j.Spec.Steps {
 			for i, t := range j.stepTasks(occ, step) {
@@ -322,7 +331,7 @@
 	}
 }
 
-// stopTask asks for the end of a task's run, wherever it is booked.
+// stopTask requests a stop of the current run of a task.
 func (p *Planner) stopTask(j *Job, r Ref) {
 	t := j.task(r)
 	if t == nil || t.Worker == "" {
@@ -333,25 +342,27 @@
 	}
 }
 
+// stop requests a stop of a run. A start whose intent is not stored yet needs
+// none, because Release withdraws it.
 func (p *Planner) stop(w *Worker, r Ref, run int) {
-	b := w.runs[r]
-	if b != nil && b.run == run {
-		if b.stopping || b.phase == phaseIntent {
+	a := w.runs[r]
+	if a != nil && a.run == run {
+		if a.stopping || a.phase == phaseIntent {
 			return
 		}
-		b.stopping = true
+		a.stopping = true
 	}
 	p.stops = append(p.stops, Stop{Worker: w.ID, Ref: r, Run: run})
 }
 
-// Stop asks a worker to end a run.
+// Stop is a request to a worker to stop a run.
 type Stop struct {
 	Worker string
 	Ref    Ref
 	Run    int
 }
 
-// TakeStops returns the stops asked for since the last call.
+// TakeStops returns the stops requested since the last call.
 func (p *Planner) TakeStops() []Stop {
 	s := p.stops
 	p.stops = nil
@@ -361,41 +372,42 @@
 // SetView replaces the configuration.
 func (p *Planner) SetView(v View) {
 	p.view = v
-	p.viewNo++
+	p.viewVersion++
 	p.queues = map[string]*Queue{}
 	for name, q := range v.Queues {
 		p.queues[name] = &q
 	}
 }
 
-// noQueue stands for a queue that the configuration no longer has.
-var noQueue = &Queue{}
+// missingQueue replaces a queue that is no longer configured.
+var missingQueue = &Queue{}
 
-// queue returns the queue of a part.
-func (p *Planner) queue(pt *part) *Queue {
-	if pt.queue == nil || pt.viewNo != p.viewNo {
-		pt.queue, pt.viewNo = p.queues[pt.job.Spec.Queue], p.viewNo
-		if pt.queue == nil {
-			pt.queue = noQueue
+// queue returns the queue of a step instance, cached for each configuration.
+func (p *Planner) queue(si *stepInstance) *Queue {
+	if si.queue == nil || si.viewVersion != p.viewVersion {
+		si.queue, si.viewVersion = p.queues[si.job.Spec.Queue], p.viewVersion
+		if si.queue == nil {
+			si.queue = missingQueue
 		}
 	}
-	return pt.queue
+	return si.queue
 }
 
-// Accept adds a job. A job that is known already is left as it is.
+// Accept adds a job and reports whether it is new. A job whose ID is in use is
+// ignored.
 func (p *Planner) Accept(spec Spec, now Instant) (added bool) {
 	if p.state.Jobs[spec.ID] != nil {
 		return false
 	}
-	spec.Excess = p.excess(spec.Team, now)
+	spec.Excess = p.exceedsRate(spec.Team, now)
 	j := newJob(spec)
 	p.state.Jobs[spec.ID] = j
-	p.fresh = append(p.fresh, spec)
-	p.open(j, now)
+	p.newSpecs = append(p.newSpecs, spec)
+	p.addSteps(j, now)
 	return true
 }
 
-// Cancel ends a job on request and reports whether it is known.
+// Cancel cancels a job and reports whether the job exists.
 func (p *Planner) Cancel(id string, now Instant) bool {
 	j := p.state.Jobs[id]
 	if j == nil {
@@ -403,7 +415,7 @@
 	}
 	if j.Progress.Verdict == Open {
 		j.Progress.Cancel = true
-		p.end(j, Cancelled, now)
+		p.endJob(j, Cancelled, now)
 	}
 	return true
 }
