--- a/internal/node/lead/lead.go
+++ b/internal/node/lead/lead.go
@@ -1,21 +1,21 @@
-// Package lead runs the one owner of the jobs' topic: it writes what the
-// planner decides, sends orders to workers, and follows what they report.
+// Package lead runs the owner of the job topic. It stores the planner's
+// decisions, sends orders to workers and processes their reports.
 //
-// One loop writes. In each cycle it takes the waiting submissions and
-// cancellations, lets the planner place what fits, appends all records in one
-// call, and only then answers callers and sends starts. The append carries the
-// owner's epoch and a sequence number, so it can be repeated without harm, by
-// this host or through a peer, until its outcome is known. An owner whose epoch
-// has been exceeded ends at once.
+// A single loop writes. Each cycle takes the queued submissions and
+// cancellations, runs the planner, appends all records in one call, and only
+// then responds to callers and sends starts. An append carries the owner's epoch
+// and a sequence number, so it is idempotent: this host or a peer can repeat it
+// until its outcome is known. An owner stops as soon as it sees a higher epoch.
 //
-// One loop for each worker renews its lease and takes its lists. A worker is
-// told to forget an end only after the end is stored.
+// One loop per worker sends heartbeats, which renew the worker's lease and return
+// its running tasks and ended runs. The owner acknowledges an ended run only
+// after it is stored.
 //
 // # Usage
 //
-//	l := lead.Start(lead.Config{State: state, Epoch: epoch, Store: store, Workers: client, ...})
-//	err := l.Submit(ctx, spec)
-//	<-l.Done() // deposed or stopped
+//	o := lead.Start(lead.Config{Claim: claim, State: state, Store: store, Workers: client, ...})
+//	err := o.Submit(ctx, spec)
+//	<-o.Done() // lost ownership or was stopped
 package lead
 
 import (
@@ -31,50 +31,50 @@
 	"lagooncourse/internal/plat/ports"
 )
 
-// Writer names the sequence of appends to the jobs' topic.
+// Writer is the writer name of all appends to the job topic.
 const Writer = "owner"
 
-// Advisers asks for advice through several hosts.
+// Advisers sends requests to the advice service through several hosts.
 type Advisers interface {
 	sched.Desks
-	// Advise asks through the desk that the question has taken, and releases
-	// it. The answer's age is the time since the service gave it.
+	// Advise sends the request through the host reserved for it and releases
+	// that host. It also returns the age of the answer.
 	Advise(ctx context.Context, w sched.Want) (ports.Advice, time.Duration, error)
 }
 
-// Config describes a Lead.
+// Config configures an owner.
 type Config struct {
 	Claim    sched.Claim
 	Topic    string
-	State    *sched.State // all records up to the claim
+	State    *sched.State // built from all records up to the claim
 	Store    ports.Store
 	Workers  ports.Workers
 	Advisers Advisers
-	Registry string // topic of the workers' entries
+	Registry string // topic of the worker registry
 	Parse    func(key string, value []byte) (sched.WorkerInfo, error)
 	WorkerID func(key string) string
 	View     sched.View
 	Clock    clock.Clock
 	Logger   logr.Logger
 	Metrics  *Metrics
-	KeepMs   int64 // how long an ended job is remembered
+	KeepMs   int64 // retention time of ended jobs
 	LeaseMax int64 // longest lease that a worker grants, in ms
 }
 
-// Timing of an owner.
+// Intervals, timeouts and limits of an owner.
 const (
-	leaseMs        = 5_000                  // outlives a takeover and a loss of power of all hosts for 2 s; the tasks of a crashed worker wait for it
-	silenceMs      = 6_000                  // without a stored record for so long, an owner renews nothing
-	idleEvery      = 500 * time.Millisecond // an idle owner shows that it lives
-	planEvery      = 25 * time.Millisecond  // tickets and due times change without an event
-	registryEvery  = 250 * time.Millisecond // a draining worker gets no start 2 s later
+	leaseMs        = 5_000                  // survives a takeover and a 2 s power loss of all hosts; delays the rerun of a crashed worker's tasks
+	silenceMs      = 6_000                  // an owner without a confirmed append for this long renews no leases
+	idleEvery      = 500 * time.Millisecond // an idle owner appends a record to show that it is alive
+	planEvery      = 25 * time.Millisecond  // tickets expire and jobs become due without an event
+	registryEvery  = 250 * time.Millisecond // a draining worker must get no start 2 s later
 	appendTimeout  = 700 * time.Millisecond // a slow store answers within 300 ms
 	busyPause      = 25 * time.Millisecond
-	storeStuck     = 1200 * time.Millisecond // a longer append refuses new submissions at once
-	maxSubmissions = 4_000                   // waiting for the store at once
+	storeStuck     = 1200 * time.Millisecond // a longer append makes new submissions fail fast
+	maxSubmissions = 4_000                   // submissions queued for the store
 )
 
-// Lead is a running owner.
+// Owner is a running owner of the job topic.
 type Lead struct {
 	cfg    Config
 	log    logr.Logger
@@ -83,8 +83,8 @@
 	loops  sync.WaitGroup
 	done   chan struct{}
 	end    sync.Once
-	kick   chan struct{} // something has changed
-	write  chan struct{} // something is to be stored
+	kick   chan struct{} // wakes the plan loop
+	write  chan struct{} // wakes the write loop
 	seq    int64         // of the next append; used by the write loop only
 	slow   bool          // the last append was slow; used by the write loop only
 
@@ -95,30 +95,33 @@
 	clocks    map[string]workerClock
 	holds     map[string]context.CancelFunc
 	stops     map[sched.Stop]bool
-	starts    []sched.Start // placed, their intents not stored
+	starts    []sched.Start // planned, intents not stored yet
 	stored    chan struct{} // closed and replaced after each append
-	stuckFrom time.Time     // since when an append has been without an answer
-	confirmed time.Time     // departure of the last append that was stored
-	explained time.Time     // when waiting parts were explained last
+	stuckFrom time.Time     // send time of the first try of the unconfirmed append; zero if there is none
+	confirmed time.Time     // send time of the last confirmed append
+	explained time.Time     // time of the last log lines about late tasks
 }
 
+// workerClock is a reading of a worker's clock.
 type workerClock struct {
-	clock int64 // of the worker, in ms
+	clock int64 // in ms
 	at    time.Time
-	born  int64 // incarnation that has this clock
+	born  int64 // incarnation of the worker
 }
 
+// submission is a job that waits to be stored.
 type submission struct {
 	spec sched.Spec
 	done chan error
 }
 
+// cancellation is a request to cancel a job that waits to be stored.
 type cancellation struct {
 	id   string
 	done chan error
 }
 
-// Start begins to act as the owner.
+// Start runs an owner in the background.
 func Start(cfg Config) *Lead {
 	ctx, cancel := context.WithCancel(context.Background())
 	l := &Lead{
@@ -146,6 +149,8 @@
 	return l
 }
 
+// leaseDuration returns the lease duration in ms: leaseMs or the maximum of the
+// workers, whichever is shorter.
 func (l *Lead) lease() int64 {
 	if l.cfg.LeaseMax > 0 {
 		return min(leaseMs, l.cfg.LeaseMax)
@@ -153,7 +158,7 @@
 	return leaseMs
 }
 
-// now returns the present instant by both clocks.
+// now returns the current time as monotonic and wall-clock milliseconds.
 func (l *Lead) now() sched.Instant {
 	t := l.cfg.Clock.Now()
 	return sched.Instant{Ms: steadyMs(t), Wall: t.UnixMilli()}
@@ -161,13 +166,13 @@
 
 var processStart = time.Now()
 
-// steadyMs returns the reading of the steady clock in t.
+// monotonicMs returns the milliseconds between process start and t.
 func steadyMs(t time.Time) int64 { return t.Sub(processStart).Milliseconds() }
 
-// Done is closed when the owner has ended.
+// Done returns a channel that is closed when all loops of the owner have ended.
 func (l *Lead) Done() <-chan struct{} { return l.done }
 
-// Stop ends the ownership. Submissions that were not stored are refused.
+// Stop gives up ownership and fails the submissions that are not stored.
 func (l *Lead) Stop(reason string) {
 	l.end.Do(func() {
 		l.log.Info("gave up ownership", "reason", reason)
@@ -175,10 +180,10 @@
 	})
 }
 
-// wake makes the planner look at what has changed.
+// wakePlanner wakes the plan loop.
 func (l *Lead) wake() { signal(l.kick) }
 
-// signal marks ch, unless it is marked already.
+// notify sends on ch without blocking; a pending notification is not repeated.
 func signal(ch chan struct{}) {
 	select {
 	case ch <- struct{}{}:
@@ -186,7 +191,7 @@
 	}
 }
 
-// SetView takes a new configuration.
+// SetView passes a new configuration to the planner.
 func (l *Lead) SetView(v sched.View) {
 	l.mu.Lock()
 	l.plan.SetView(v)
@@ -194,13 +199,14 @@
 	l.wake()
 }
 
-// errStopped refuses work that an ending owner has not sent to the store.
+// errNotOwner returns the error for requests that a stopping owner has not sent
+// to the store.
 func errStopped() error {
 	return fault.New(fault.NotOwner, fault.NotRun, "this host no longer owns the jobs")
 }
 
-// Submit stores a job and returns nil once it is stored. A job that is stored
-// already is accepted again without effect.
+// Submit returns nil once the job is stored. Repeating the submission of a stored
+// job has no effect.
 func (l *Lead) Submit(ctx context.Context, spec sched.Spec) error {
 	s := &submission{spec: spec, done: make(chan error, 1)}
 	l.mu.Lock()
@@ -223,8 +229,7 @@
 	}
 }
 
-// admit refuses submissions that could not be stored soon. The caller holds
-// the lock.
+// admit rejects a submission that cannot be stored soon. The caller holds o.mu.
 func (l *Lead) admit() error {
 	switch {
 	case l.ctx.Err() != nil:
@@ -237,17 +242,18 @@
 	return nil
 }
 
-// retryAfterOutage is in seconds; outages of the store last several.
+// outageRetryAfterSeconds is the Retry-After value during a store outage, which
+// lasts several seconds.
 const retryAfterOutage = 2
 
-// errDoubt answers a request whose record may be stored already or yet.
+// errUnconfirmed returns the error for a request whose record is sent: it may be
+// stored already or may be stored later.
 func errDoubt() error {
 	return fault.New(fault.Timeout, fault.Unknown, "the store has not confirmed the request yet")
 }
 
-// refusal returns the refusal of a submission, unless an earlier one of the same
-// job is on its way to the store: then the job may run yet. The caller holds the
-// lock.
+// rejection returns err, or errUnconfirmed if an earlier submission of the same
+// job has been sent to the store and may still run. The caller holds o.mu.
 func (l *Lead) refusal(id string, err error) error {
 	if _, sent := l.plan.Job(id); sent {
 		return errDoubt()
@@ -255,7 +261,8 @@
 	return err
 }
 
-// abandon takes a submission back if it was not sent to the store yet.
+// withdraw removes a submission that has not been sent to the store. For one that
+// has been sent, it returns the result, or errUnconfirmed if there is none yet.
 func (l *Lead) abandon(s *submission) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -273,7 +280,7 @@
 	return errDoubt()
 }
 
-// Cancel ends a job and returns once that is stored.
+// Cancel cancels a job and returns once the cancellation is stored.
 func (l *Lead) Cancel(ctx context.Context, id string) error {
 	c := &cancellation{id: id, done: make(chan error, 1)}
 	l.mu.Lock()
@@ -292,7 +299,7 @@
 	}
 }
 
-// Status returns a job's state.
+// Status returns a job's state and whether the job exists.
 func (l *Lead) Status(id string) (sched.Status, bool, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -303,7 +310,7 @@
 	return s, ok, nil
 }
 
-// Pending counts the jobs of a queue of which nothing has started.
+// Pending returns the number of jobs of a queue without a started task.
 func (l *Lead) Pending(queue string) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/node/lead/write.go
+++ b/internal/node/lead/write.go
@@ -10,8 +10,8 @@
 	"lagooncourse/internal/plat/ports"
 )
 
-// planLoop lets the planner look at each change, whether or not an append is
-// under way: advice is asked and room is booked while the store is slow.
+// planLoop runs the planner after each change. It does not wait for appends, so
+// advice is requested and capacity is reserved while the store is slow.
 func (l *Lead) planLoop() {
 	timer := time.NewTicker(planEvery)
 	defer timer.Stop()
@@ -32,12 +32,12 @@
 	}
 }
 
-// planPause gathers events that arrive together: a tenth of the time in which an
-// urgent job of the users should begin.
+// planDebounce batches events that arrive together. It is a tenth of the target
+// start latency of urgent jobs.
 const planPause = 5 * time.Millisecond
 
-// planLocked places what fits and asks for advice. It reports whether there is
-// anything to store. The caller holds the lock.
+// planLocked places the tasks that fit and requests advice. It reports whether
+// there is anything to store. The caller holds o.mu.
 func (l *Lead) planLocked() bool {
 	now := l.now()
 	for _, id := range l.plan.Tick(now) {
@@ -53,8 +53,7 @@
 	return l.plan.Dirty() || len(l.submits) > 0 || len(l.cancels) > 0
 }
 
-// writeLoop runs a cycle whenever there is something to store, and now and
-// then without.
+// writeLoop runs a cycle on each wake-up and at least every idleAppendInterval.
 func (l *Lead) writeLoop() {
 	defer l.refuseAll()
 	timer := time.NewTicker(idleEvery)
@@ -72,8 +71,8 @@
 	}
 }
 
-// cycle stores what is due and does what had to wait for that. It returns
-// false when the ownership has ended.
+// runCycle stores the pending records, then responds to callers and sends starts.
+// It returns false when ownership has ended.
 func (l *Lead) cycle() bool {
 	w, err := l.prepare()
 	for err == nil {
@@ -92,8 +91,8 @@
 		l.mu.Unlock()
 	}
 	if err != nil {
-		l.log.Error(err, "records not encoded")
-		l.Stop("records not encoded")
+		l.log.Error(err, "failed to encode records")
+		l.Stop("failed to encode records")
 		w.doubt()
 		return false
 	}
@@ -101,18 +100,18 @@
 	return true
 }
 
-// work is what one cycle does.
+// cycleWork is the work of one cycle.
 type work struct {
 	batch   *sched.Batch
 	submits []*submission
 	cancels []*cancellation
-	starts  []sched.Start // whose intents the batch holds
-	send    []sched.Start // those that may be sent
-	unknown map[*cancellation]bool
+	starts  []sched.Start          // intents are in the batch
+	send    []sched.Start          // released for sending
+	unknown map[*cancellation]bool // the job does not exist
 }
 
-// doubt answers everybody whose request was on its way to the store when the
-// ownership ended.
+// failUnconfirmed fails the requests whose append was not confirmed when ownership
+// ended.
 func (w *work) doubt() {
 	for _, s := range w.submits {
 		s.done <- errDoubt()
@@ -122,7 +121,7 @@
 	}
 }
 
-// prepare takes what waits and lets the planner decide.
+// prepare takes the queued requests, runs the planner and builds the first batch.
 func (l *Lead) prepare() (w *work, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -144,15 +143,15 @@
 	return w, err
 }
 
-// Bounds of the lines about parts that have waited for long.
+// Limits of the log lines about steps that have waited for long.
 const (
 	lateAfterMs  = 3_000
 	explainEvery = 2 * time.Second
 	mostExplain  = 10
 )
 
-// explainLate writes why parts that have waited for long still wait. The
-// caller holds the lock.
+// logLate logs why steps that have waited for long are not placed. The caller
+// holds o.mu.
 func (l *Lead) explainLate(now sched.Instant) {
 	if t := l.cfg.Clock.Now(); t.Sub(l.explained) < explainEvery {
 		return
@@ -165,14 +164,15 @@
 	}
 }
 
-// addSign adds a record that shows that the owner lives.
+// addClaim adds the owner's claim record, which shows that the owner is alive.
 func (l *Lead) addSign(b *sched.Batch) error {
 	key, value, err := sched.ClaimRecord(l.cfg.Claim)
 	b.Keys, b.Values = append(b.Keys, key), append(b.Values, value)
 	return err
 }
 
-// finish releases the starts whose intents are stored. The caller holds the lock.
+// releaseStarts releases the starts whose intents are stored. The caller holds
+// o.mu.
 func (l *Lead) finish(w *work) {
 	w.send = l.plan.Release(w.starts, l.now())
 	if len(w.batch.Keys) > 0 {
@@ -182,7 +182,7 @@
 	l.takeStops()
 }
 
-// answer sends what a cycle has made possible.
+// respond responds to the callers of a stored cycle and sends its starts.
 func (l *Lead) answer(w *work) {
 	for _, s := range w.submits {
 		l.log.Info("accepted job", "job", s.spec.ID, "queue", s.spec.Queue, "team", s.spec.Team, "steps", len(s.spec.Steps))
@@ -201,8 +201,8 @@
 	}
 }
 
-// store appends a batch and repeats it until its outcome is known. It returns
-// false when the ownership has ended.
+// appendBatch appends a batch and retries until the outcome is known. It returns
+// false when ownership has ended.
 func (l *Lead) store(b *sched.Batch) bool {
 	req := ports.AppendRequest{Topic: l.cfg.Topic, Writer: Writer, Epoch: l.cfg.Claim.Epoch, Seq: l.seq}
 	for i, key := range b.Keys {
@@ -226,7 +226,7 @@
 			return false
 		}
 		if reason := ports.ReasonOf(err); reason == ports.RefusedFence || reason == ports.RefusedSequence {
-			l.Stop("another owner writes: " + string(reason))
+			l.Stop("append refused, another owner is writing: " + string(reason))
 			return false
 		}
 		l.noteStuck(sent, err, tries)
@@ -234,11 +234,11 @@
 	}
 }
 
-// slowAppend is about ten times what an append takes on a calm day.
+// slowAppend is about ten times the usual append latency.
 const slowAppend = 100 * time.Millisecond
 
-// noteSpeed takes note of how long an append took, and writes a line when the
-// store becomes slow or is fast again.
+// recordLatency records the latency of an append and logs when the store becomes
+// slow or fast again.
 func (l *Lead) noteSpeed(d time.Duration, tries int) {
 	l.cfg.Metrics.append(d, tries)
 	if slow := d > slowAppend; slow != l.slow {
@@ -247,7 +247,7 @@
 	}
 }
 
-// noteStuck takes note of an append without success.
+// recordFailure records an append attempt that failed.
 func (l *Lead) noteStuck(sent time.Time, err error, tries int) {
 	l.mu.Lock()
 	if l.stuckFrom.IsZero() {
@@ -261,8 +261,8 @@
 	l.refuseLate()
 }
 
-// refuseLate refuses the submissions that came while the store does not
-// answer, of which nothing was sent.
+// rejectDuringOutage rejects the queued submissions once an append has been
+// unconfirmed for storeOutageAfter. None of them has been sent to the store.
 func (l *Lead) refuseLate() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -275,7 +275,7 @@
 	l.submits = nil
 }
 
-// refuseAll answers everybody who still waits when the ownership ends.
+// rejectAll rejects the queued requests when ownership ends.
 func (l *Lead) refuseAll() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -288,7 +288,7 @@
 	l.submits, l.cancels = nil, nil
 }
 
-// ask gets advice and hands it to the planner.
+// requestAdvice requests advice and passes the answer to the planner.
 func (l *Lead) ask(want sched.Want) {
 	ctx, cancel := context.WithTimeout(l.ctx, adviceTimeout+time.Duration(2*want.CostMs)*time.Millisecond)
 	defer cancel()
@@ -304,6 +304,6 @@
 	l.wake()
 }
 
-// adviceTimeout is added to twice what the answer should take, for a question
-// of an earlier owner that is still being answered at the desk.
+// adviceTimeout is added to twice the expected response time, because the host
+// may still be serving a request of an earlier owner.
 const adviceTimeout = time.Second
