--- a/internal/node/lead/metrics.go
+++ b/internal/node/lead/metrics.go
@@ -9,7 +9,7 @@
 	"lagooncourse/internal/plat/ports"
 )
 
-// Metrics counts what an owner does. A nil Metrics counts nothing.
+// Metrics holds the metrics of an owner. A nil *Metrics records nothing.
 type Metrics struct {
 	appends *prometheus.HistogramVec
 	starts  *prometheus.HistogramVec
@@ -17,7 +17,7 @@
 	advices *prometheus.CounterVec
 }
 
-// latencyBuckets are in seconds, from one round trip to an outage of the store.
+// latencyBuckets range from one round trip to a store outage, in seconds.
 var latencyBuckets = []float64{.002, .005, .01, .02, .05, .1, .25, .5, 1, 2.5, 5, 10}
 
 // NewMetrics registers the metrics of an owner.
@@ -74,6 +74,7 @@
 	m.advices.WithLabelValues(label).Inc()
 }
 
+// outcomeLabel returns the value of the outcome label.
 func outcomeLabel(err error) string {
 	switch {
 	case err == nil:
--- a/internal/node/lead/order.go
+++ b/internal/node/lead/order.go
@@ -11,27 +11,28 @@
 	"lagooncourse/internal/plat/ports"
 )
 
-// Timing of orders and lists.
+// Timeouts and retry limits of orders and heartbeats.
 const (
-	startTimeout  = 400 * time.Millisecond // workers answer within a few ms; a repeat of a start is harmless
+	startTimeout  = 400 * time.Millisecond // workers answer within a few ms; starts are idempotent
 	startTries    = 2
 	stopTimeout   = 500 * time.Millisecond
 	stopPause     = 150 * time.Millisecond
-	holdWait      = 700 * time.Millisecond // bounds how long an end stays unseen when an answer is lost
+	holdWait      = 700 * time.Millisecond // bounds the delay of a reported end when an answer is lost
 	holdTimeout   = 400 * time.Millisecond // in addition to the wait
-	holdPause     = 100 * time.Millisecond // after a failure
+	holdPause     = 100 * time.Millisecond // first backoff after a failure
 	maxHoldPause  = 1500 * time.Millisecond
-	storedTimeout = time.Second // renews the lease while the store is away
+	storedTimeout = time.Second // leases must be renewed during a store outage
 )
 
-// mayRenew reports whether the owner is sure enough of its ownership to renew
-// leases. The caller holds the lock.
+// mayRenew reports whether the last confirmed append is recent enough to renew
+// leases. The caller holds o.mu.
 func (l *Lead) mayRenew() bool {
 	return l.cfg.Clock.Now().Sub(l.confirmed) < silenceMs*time.Millisecond
 }
 
-// leaseEnd returns the end of a lease that begins now, on the worker's clock; 0
-// if the clock is not known or nothing may be renewed. The caller holds the lock.
+// leaseEnd returns the end of a lease that begins now, on the worker's clock. It
+// returns 0 if the clock is unknown or leases must not be renewed. The caller
+// holds o.mu.
 func (l *Lead) leaseEnd(id string) int64 {
 	c, ok := l.clocks[id]
 	if info, _ := l.plan.Worker(id); !ok || info.Born != c.born || !l.mayRenew() {
@@ -41,7 +42,7 @@
 	return c.clock + l.cfg.Clock.Now().Sub(c.at).Milliseconds() + l.lease()
 }
 
-// send sends a start and, if there is no answer, once more.
+// sendStart sends a start and retries it while the outcome is unknown.
 func (l *Lead) send(s sched.Start) {
 	out := sched.StartUnknown
 	var err error
@@ -79,6 +80,7 @@
 	l.log.Info("start", "task", s.Ref.String(), "run", s.Run, "worker", s.Worker, "outcome", out.String(), "err", errText(err))
 }
 
+// errText returns the text of err for a log line, "" if err is nil.
 func errText(err error) string {
 	if err == nil {
 		return ""
@@ -86,15 +88,15 @@
 	return err.Error()
 }
 
-// checkFence ends the ownership when a worker has seen a later one.
+// checkFence gives up ownership if a worker refused the fencing token as outdated.
 func (l *Lead) checkFence(err error) {
 	if ports.ReasonOf(err) == ports.RefusedFence {
-		l.Stop("a worker has seen a later owner")
+		l.Stop("a worker has seen a higher fencing token")
 	}
 }
 
-// outcomeOf reads the answer to a start. A refusal of a repeat says nothing about
-// the first order, which may still be under way.
+// startOutcome returns the outcome of attempt try of a start. A refused retry
+// leaves the outcome unknown, since the first attempt may still arrive.
 func outcomeOf(err error, try int) sched.Outcome {
 	if err == nil {
 		return sched.StartUp
@@ -120,8 +122,8 @@
 	return sched.StartRefused
 }
 
-// takeStops sends the stops that the planner has asked for. The caller holds
-// the lock.
+// dispatchStops sends the stops that the planner has requested. The caller holds
+// o.mu.
 func (l *Lead) takeStops() {
 	for _, s := range l.plan.TakeStops() {
 		if !l.stops[s] {
@@ -131,7 +133,7 @@
 	}
 }
 
-// stop repeats a stop until the worker has confirmed it or is given up.
+// sendStop retries a stop until the worker confirms it, refuses it or is removed.
 func (l *Lead) stop(s sched.Stop) {
 	defer func() {
 		l.mu.Lock()
@@ -156,8 +158,9 @@
 	}
 }
 
-// stopSettled takes the answer to a stop. A refusal other than by load says
-// that the run is not there and will not be.
+// handleStopResult processes the result of a stop and reports whether no retry is
+// needed. A refusal for a reason other than overload means that the run does not
+// exist and will not start.
 func (l *Lead) stopSettled(s sched.Stop, err error) bool {
 	switch reason := ports.ReasonOf(err); {
 	case err == nil:
@@ -175,15 +178,14 @@
 	return true
 }
 
-// worker returns what the registry says about a worker that is in use.
+// worker returns the registry data of a worker that is in use.
 func (l *Lead) worker(id string) (sched.WorkerInfo, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.plan.Worker(id)
 }
 
-// holdLoop renews a worker's lease and takes its lists until the worker is of
-// no use any more.
+// heartbeatLoop sends heartbeats to a worker until it is no longer in use.
 func (l *Lead) holdLoop(ctx context.Context, id string) {
 	pause := holdPause
 	for ctx.Err() == nil {
@@ -204,8 +206,8 @@
 	}
 }
 
-// awaitStored waits until the ends that a worker has listed are stored. A call
-// before that would be answered at once with the same ends.
+// awaitEndsStored waits until the ended runs that a worker has reported are
+// stored. An earlier heartbeat would return the same ended runs immediately.
 func (l *Lead) awaitStored(ctx context.Context, id string) {
 	t := time.NewTimer(storedTimeout)
 	defer t.Stop()
@@ -226,7 +228,9 @@
 	}
 }
 
-// hold makes one call to a worker. It reports whether there were new ends.
+// heartbeat sends one heartbeat to a worker, which renews its lease and returns
+// its running tasks and ended runs. It reports whether some of those ends are not
+// stored yet.
 func (l *Lead) hold(ctx context.Context, info sched.WorkerInfo) (ends bool, err error) {
 	l.mu.Lock()
 	_, known := l.clocks[info.ID]
@@ -247,7 +251,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if err != nil {
-		if l.ctx.Err() == nil { // otherwise this host has ended the call itself
+		if l.ctx.Err() == nil { // otherwise the call was canceled by this host
 			l.holdFailed(info, err)
 		}
 		return false, err
@@ -264,7 +268,7 @@
 	return ends, nil
 }
 
-// logEnds writes a line for each end that is new.
+// logEnds logs each newly reported end of a run.
 func (l *Lead) logEnds(worker string, before int64, finished []sched.Finished) {
 	for _, f := range finished {
 		if f.N > before {
@@ -273,7 +277,7 @@
 	}
 }
 
-// holdFailed takes note of a call without lists. The caller holds the lock.
+// heartbeatFailed handles a failed heartbeat. The caller holds o.mu.
 func (l *Lead) holdFailed(info sched.WorkerInfo, err error) {
 	if l.plan.Unanswered(info.ID) {
 		l.log.Info("worker does not answer", "worker", info.ID, "err", err.Error())
@@ -282,21 +286,21 @@
 	l.checkFence(err)
 }
 
-// registryLoop follows the workers' entries.
+// registryLoop polls the worker registry.
 func (l *Lead) registryLoop() {
 	next := int64(-1)
 	for l.ctx.Err() == nil {
 		var err error
 		next, err = l.readRegistry(next)
 		if err != nil {
-			l.log.V(1).Info("registry not read", "err", err.Error())
+			l.log.V(1).Info("failed to read worker registry", "err", err.Error())
 		}
 		clock.Sleep(l.ctx, registryEvery)
 	}
 }
 
-// readRegistry reads what is new from the offset on, or the newest entries if
-// the offset is negative. It returns the next offset.
+// readRegistry applies the registry records from the offset next on, or the
+// newest record of each worker if next is negative. It returns the next offset.
 func (l *Lead) readRegistry(next int64) (int64, error) {
 	ctx, cancel := context.WithTimeout(l.ctx, appendTimeout)
 	defer cancel()
@@ -321,7 +325,8 @@
 	return next, nil
 }
 
-// readAllEntries reads the newest entry of each worker; the others are gone.
+// readFullRegistry applies the newest record of each worker and drops the workers
+// without one.
 func (l *Lead) readAllEntries(ctx context.Context) (int64, error) {
 	all, end, err := ports.ReadNewest(ctx, l.cfg.Store, l.cfg.Registry)
 	if err != nil {
@@ -343,26 +348,27 @@
 	return end, nil
 }
 
-// entry takes one record of the registry. The caller holds the lock.
+// applyEntry applies one record of the registry. The caller holds o.mu.
 func (l *Lead) entry(r ports.Record) {
 	if r.Key == "" {
 		return
 	}
 	id := l.cfg.WorkerID(r.Key)
 	if len(r.Value) == 0 {
-		l.log.Info("worker left the registry", "worker", id)
+		l.log.Info("worker removed from the registry", "worker", id)
 		l.plan.DropWorker(id)
 		return
 	}
 	info, err := l.cfg.Parse(r.Key, r.Value)
 	if err != nil {
-		l.log.Info("registry entry ignored", "key", r.Key, "err", err.Error())
+		l.log.Info("ignoring invalid worker registry entry", "key", r.Key, "err", err.Error())
 		return
 	}
 	l.plan.SetWorker(info, l.now())
 }
 
-// syncHolds runs a loop for each worker that is in use. The caller holds the lock.
+// startHeartbeats starts a heartbeat loop for each worker that is in use and has
+// none. The caller holds o.mu.
 func (l *Lead) syncHolds() {
 	for _, info := range l.plan.Targets() {
 		if l.holds[info.ID] != nil || l.ctx.Err() != nil {
