--- a/internal/node/lead/play_test.go
+++ b/internal/node/lead/play_test.go
@@ -15,43 +15,43 @@
 	"lagooncourse/internal/plat/ports"
 )
 
-// play drives planners against a farm of workers without processes, network or
-// real time. Owners are deposed at random; the one before goes on sending what
-// it had in hand, as a paused process would.
+// simulation runs planners against simulated workers without processes, network
+// or real time. Random takeovers replace the owner. A replaced owner continues to
+// send its pending orders, as a paused process would after it resumes.
 type play struct {
 	t       *testing.T
 	rand    *rand.Rand
 	farm    *fakes.Farm
-	records [][2]string // the topic: key and value
-	owners  []*player   // the last one owns the topic
+	records [][2]string // key and value of each record of the topic
+	owners  []*player   // the last one is the current owner
 	nowMs   int64
 	jobs    int
-	last    string   // a job that was found open
+	last    string   // the last unfinished job that open found
 	stored  []string // jobs whose acceptance is stored
 	mutate  mutation
 }
 
-// mutation takes one safeguard out, to show that the play notices.
+// mutation selects a safeguard to disable, to show that the simulation detects it.
 type mutation int
 
 const (
 	intact      mutation = iota
-	noFence              // a new owner uses the token of the one before
-	noLeaseWait          // what an unreachable worker runs counts as lost at once
+	noFence              // all owners use the same fencing token
+	noLeaseWait          // the tasks of an unreachable worker count as lost at once
 	seenEarly            // ends are acknowledged before they are stored
-	noBornCheck          // lists of a new incarnation are taken for those of the old
+	noBornCheck          // reports of a restarted worker are attributed to its first incarnation
 )
 
-// player is one owner.
+// simOwner is a current or replaced owner.
 type player struct {
 	epoch   int64
 	plan    *sched.Planner
-	clocks  map[string][3]int64 // worker -> its clock, when it was read, and the incarnation
+	clocks  map[string][3]int64 // by worker: its clock, the time of the reading, its incarnation
 	starts  []sched.Start       // intents not stored
-	stops   []sched.Stop        // not answered yet
-	outbox  []delayed           // starts on their way
-	deposed int64               // since when another owns the topic; 0 if it does
-	confirm int64               // when a record was stored last
+	stops   []sched.Stop        // unanswered
+	outbox  []delayed           // delayed starts
+	deposed int64               // time at which it was replaced; 0 for the current owner
+	confirm int64               // time of the last append
 }
 
 const (
@@ -82,7 +82,7 @@
 
 func (p *play) now() sched.Instant { return sched.Instant{Ms: p.nowMs, Wall: p.nowMs} }
 
-// claim starts a new owner from the records.
+// takeOver starts a new owner from the stored records.
 func (p *play) claim() {
 	state := sched.NewState()
 	for _, r := range p.records {
@@ -125,7 +125,8 @@
 	p.owners[len(p.owners)-1].plan.Accept(spec, p.now())
 }
 
-// step moves the time on and lets every owner act that does not know better.
+// step advances the time and runs the current owner and those replaced less than
+// maxConfirmAgeMs ago.
 func (p *play) step() {
 	p.nowMs += playStepMs
 	p.farm.Advance(p.nowMs)
@@ -138,7 +139,7 @@
 	}
 }
 
-// act is one round of an owner. Only the current one can store.
+// runOwner runs one round of an owner. Only the current owner plans and stores.
 func (p *play) act(o *player, current bool) {
 	for _, info := range p.farm.Entries() {
 		o.plan.SetWorker(info, p.now())
@@ -160,7 +161,8 @@
 	assert.NilError(p.t, o.plan.Audit())
 }
 
-// store appends what is due and sends the starts whose intents it holds.
+// store appends the pending records and queues the starts whose intents are
+// stored.
 func (p *play) store(o *player) {
 	b, err := o.plan.TakeDirty(p.now())
 	assert.NilError(p.t, err)
@@ -175,13 +177,13 @@
 	for _, s := range send {
 		at := p.nowMs
 		if p.rand.Intn(10) == 0 {
-			at += p.rand.Int63n(2000) // on its way, or its sender is paused
+			at += p.rand.Int63n(2000) // delayed by the network or a paused sender
 		}
 		o.outbox = append(o.outbox, delayed{at, s})
 	}
 }
 
-// deliver sends the orders whose time has come.
+// deliver sends the starts that are due.
 func (p *play) deliver(o *player) {
 	rest := o.outbox[:0]
 	for _, d := range o.outbox {
@@ -194,12 +196,14 @@
 	o.outbox = rest
 }
 
-// delayed is an order that is sent at an instant.
+// delayedStart is a start and the time at which it is sent.
 type delayed struct {
 	atMs  int64
 	start sched.Start
 }
 
+// leaseEnd returns the lease end for an order sent now, 0 if leases must not be
+// renewed.
 func (o *player) leaseEnd(id string, nowMs int64) int64 {
 	c, ok := o.clocks[id]
 	if info, _ := o.plan.Worker(id); !ok || info.Born != c[2] || nowMs-o.confirm >= silenceMs {
@@ -208,6 +212,7 @@
 	return c[0] + nowMs - c[1] + playLeaseMs
 }
 
+// send sends a start if it is still valid.
 func (p *play) send(o *player, s sched.Start) {
 	end := o.leaseEnd(s.Worker, p.nowMs)
 	if end == 0 || !o.plan.Due(s) {
@@ -221,7 +226,7 @@
 	o.plan.Started(s, outcomeOf(err, 0), p.now())
 }
 
-// stop sends a stop, and again in the next round if it is not answered.
+// stop sends a stop and queues it for the next round if it is not answered.
 func (p *play) stop(o *player, s sched.Stop) {
 	err := p.farm.StopAt(ports.StopOrder{Peer: ports.Peer{ID: s.Worker}, Token: o.epoch, Task: s.Ref.String(), Run: s.Run}, p.nowMs)
 	if err == nil {
@@ -234,7 +239,7 @@
 	}
 }
 
-// holds takes the lists of some workers.
+// heartbeats sends heartbeats to a random quarter of the workers.
 func (p *play) holds(o *player) {
 	for _, info := range o.plan.Targets() {
 		if p.rand.Intn(4) > 0 {
@@ -263,12 +268,14 @@
 	}
 }
 
+// freeDesks is an advice capacity without limit.
 type freeDesks struct{}
 
 func (freeDesks) Idle() bool                  { return true }
 func (freeDesks) Take(float64) (string, bool) { return "d", true }
 
-// trouble changes what goes wrong.
+// injectFault triggers a takeover or a worker restart, or changes the network
+// faults.
 func (p *play) trouble() {
 	id := fmt.Sprintf("w%d", p.rand.Intn(8))
 	switch p.rand.Intn(7) {
@@ -287,7 +294,8 @@
 	}
 }
 
-// calm ends all trouble and runs until every job has ended.
+// settle removes all faults and runs until every job has ended or two minutes
+// have passed. It returns the number of unfinished jobs.
 func (p *play) calm() (open int) {
 	for i := range 8 {
 		p.farm.Cut(fmt.Sprintf("w%d", i), false)
@@ -302,7 +310,7 @@
 	return p.open()
 }
 
-// open counts the jobs of which no end is shown.
+// open returns the number of stored jobs that have not ended.
 func (p *play) open() int {
 	n := 0
 	for _, id := range p.stored {
@@ -315,7 +323,7 @@
 	return n
 }
 
-// run plays a minute of trouble.
+// run simulates one minute with random submissions and faults.
 func (p *play) run() {
 	for range 60_000 / playStepMs {
 		if p.rand.Intn(8) == 0 && p.nowMs < 40_000 {
@@ -328,8 +336,8 @@
 	}
 }
 
-// TestPlay checks that no promise is broken and that every job ends, whatever
-// goes wrong in between. -play.seeds plays more.
+// TestPlay checks that no invariant is violated and that every job ends under
+// random faults. The flag -play.seeds sets the number of seeds.
 func TestPlay(t *testing.T) {
 	for seed := int64(1); seed <= int64(*playSeeds); seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -343,14 +351,14 @@
 			if open > 0 {
 				t.Log(p.owners[len(p.owners)-1].plan.Describe(p.last))
 			}
-			assert.Equal(t, open, 0, "jobs still open of %d", len(p.stored))
+			assert.Equal(t, open, 0, "unfinished jobs of %d", len(p.stored))
 			assert.Assert(t, p.farm.Starts() > p.jobs/2, "only %d starts for %d jobs", p.farm.Starts(), p.jobs)
 		})
 	}
 }
 
-// TestPlayFindsMutations shows that the play notices when a safeguard is taken
-// out.
+// TestPlayFindsMutations checks that the simulation detects each disabled
+// safeguard.
 func TestPlayFindsMutations(t *testing.T) {
 	for name, m := range map[string]mutation{
 		"no fence": noFence, "no wait for a lease": noLeaseWait, "acknowledged before stored": seenEarly, "incarnation not checked": noBornCheck,
@@ -360,11 +368,11 @@
 				p := newPlay(t, seed, m)
 				p.run()
 				if open := p.calm(); open > 0 || len(p.farm.Broken()) > 0 {
-					t.Logf("found with seed %d: %d jobs open, broken %q", seed, open, first(p.farm.Broken()))
+					t.Logf("detected with seed %d: %d unfinished jobs, violation %q", seed, open, first(p.farm.Broken()))
 					return
 				}
 			}
-			t.Fatal("not noticed with 40 seeds")
+			t.Fatal("not detected with 40 seeds")
 		})
 	}
 }
