--- a/internal/node/gate/front.go
+++ b/internal/node/gate/front.go
@@ -13,18 +13,18 @@
 	"lagooncourse/internal/base/httpd"
 )
 
-// Bounds of a caller's request.
+// Timeouts and limits of a client request.
 const (
 	defaultDeadline = 3 * time.Second
-	answerMargin    = 300 * time.Millisecond  // for the answer to reach the caller before its deadline
-	ownerWait       = 1500 * time.Millisecond // an ordinary takeover takes less
+	answerMargin    = 300 * time.Millisecond  // for the response to reach the client before its deadline
+	ownerWait       = 1500 * time.Millisecond // longer than a normal takeover
 	forwardTimeout  = 1200 * time.Millisecond // of one forwarded call
 	forwardPause    = 50 * time.Millisecond
-	defaultBody     = 256 << 10
-	retryTakeover   = 1 // seconds
+	defaultBody     = 256 << 10 // bytes
+	retryTakeover   = 1         // Retry-After in seconds
 )
 
-// serveFront answers a caller.
+// serveAPI serves a client request.
 func (h *Host) serveFront(w http.ResponseWriter, r *http.Request) {
 	h.inFlight.Add(1)
 	defer h.inFlight.Add(-1)
@@ -50,7 +50,7 @@
 	return h.leaving
 }
 
-// deadline returns how long the caller waits.
+// deadline returns how long the client waits for the response.
 func (h *Host) deadline(r *http.Request) time.Duration {
 	if d := h.cfg.Codec.Deadline(r.Header); d > 0 {
 		return d
@@ -58,7 +58,7 @@
 	return defaultDeadline
 }
 
-// call checks a request and says what it wants.
+// parseCall validates a request and converts it to a call to the owner.
 func (h *Host) call(r *http.Request) (c callMsg, err error) {
 	if !h.site.ready() {
 		return c, fault.New(fault.Unavailable, fault.NotRun, "no configuration is known yet").WithRetryAfter(retryTakeover)
@@ -95,7 +95,7 @@
 	return c, nil
 }
 
-// submission reads the body of a job.
+// parseSubmission reads and decodes the body of a job submission.
 func (h *Host) submission(r *http.Request, c callMsg, team string) (callMsg, error) {
 	limit := h.site.limits().BodyBytes
 	if limit <= 0 {
@@ -103,10 +103,10 @@
 	}
 	body, err := io.ReadAll(io.LimitReader(r.Body, limit+1))
 	if err != nil {
-		return c, fault.Field("body", "", "not readable: %v", err)
+		return c, fault.Field("body", "", "failed to read: %v", err)
 	}
 	if int64(len(body)) > limit {
-		return c, fault.New(fault.TooLarge, fault.NotRun, "a body has at most %d bytes", limit)
+		return c, fault.New(fault.TooLarge, fault.NotRun, "the body exceeds the limit of %d bytes", limit)
 	}
 	c.Spec, err = h.cfg.Codec.Job(c.ID, body)
 	if err != nil {
@@ -116,9 +116,10 @@
 	return c, nil
 }
 
-// dispatch lets the owner answer a call, wherever it is. All calls can be
-// repeated: a submission carries the job's id. A call that may have reached an
-// owner without an answer ends as unknown, never as not run.
+// dispatch sends a call to the owner, on this host or another, and retries it
+// while the owner is unavailable. All calls are idempotent: a submission carries
+// the job ID. If any try may have reached an owner, the call fails with outcome
+// Unknown, never NotRun.
 func (h *Host) dispatch(ctx context.Context, c callMsg, wait time.Duration) (a callAnswer, err error) {
 	began := h.clock.Now()
 	ctx, cancel := context.WithTimeout(ctx, max(wait-answerMargin, answerMargin))
@@ -152,12 +153,12 @@
 	return a, fault.New(fault.Unavailable, fault.NotRun, "%s", e.Detail).WithRetryAfter(max(e.RetryAfter, retryTakeover))
 }
 
-// retryable reports whether another try, or another owner, may answer.
+// retryable reports whether a retry, perhaps at another owner, may succeed.
 func retryable(e *fault.Error) bool {
 	return e != nil && (e.Code == fault.NotOwner || e.Code == fault.Unavailable || e.Code == fault.Timeout)
 }
 
-// once makes one try.
+// tryOnce sends a call to the owner once.
 func (h *Host) once(ctx context.Context, c callMsg) (a callAnswer, err error) {
 	h.mu.Lock()
 	l, own, now := h.lead, h.own, h.clock.Now()
@@ -173,7 +174,7 @@
 	return frame.Call(ctx, h.pool, own.addr, callMethod, c)
 }
 
-// serveCall answers a call as the owner.
+// serveCall executes a call if this host is the owner.
 func (h *Host) serveCall(ctx context.Context, c callMsg) (a callAnswer, err error) {
 	h.mu.Lock()
 	l := h.lead
@@ -197,7 +198,7 @@
 	return callAnswer{Status: s}, err
 }
 
-// reply writes the answer and returns its status.
+// reply writes the response and returns its status code.
 func (h *Host) reply(w http.ResponseWriter, c callMsg, a callAnswer, err error) int {
 	if err != nil {
 		return h.replyError(w, c, fault.From(err))
@@ -216,12 +217,12 @@
 		w.Header().Set("Content-Type", "application/json")
 	}
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
-	_, _ = w.Write(body) // a caller that is gone does not need the answer
+	_, _ = w.Write(body) // a write error means that the client has disconnected
 	return http.StatusOK
 }
 
-// replyError writes a problem document. A job that does not exist is "gone" to
-// callers, since "not found" means that there is no such queue.
+// replyError writes a problem document and returns its status code. An unknown job
+// gets 410 Gone, since 404 Not Found means that the queue does not exist.
 func (h *Host) replyError(w http.ResponseWriter, c callMsg, e *fault.Error) int {
 	if e.Code == fault.NotFound && (c.Kind == callStatus || c.Kind == callCancel) && c.ID != "" {
 		w.WriteHeader(http.StatusGone)
--- a/internal/node/gate/host.go
+++ b/internal/node/gate/host.go
@@ -1,16 +1,17 @@
-// Package gate is the daemon of an entry host on the users' platform: it takes
-// callers' requests, follows the operators' configuration, knows its peers,
-// and decides which of them owns the jobs.
+// Package gate implements the daemon of an entry host on the users' platform. It
+// serves client requests, applies the operators' configuration, exchanges
+// heartbeats with the other entry hosts and elects the owner of the jobs.
 //
-// Every host is equal. A host that does not own the jobs checks a request and
-// forwards it to the owner; it also asks for advice on the owner's behalf,
-// carries the owner's calls to the store when the platform turns the owner
-// away, and keeps a warm copy of the records, so that it can take over within
-// the time that it takes to claim.
+// All entry hosts run the same code. A host that is not the owner validates client
+// requests and forwards them to the owner. It also sends advice requests for the
+// owner and relays the owner's store calls when the store refuses or does not
+// answer the owner. The hosts next in the takeover order keep a replica of the job
+// records, so that a takeover needs little more than the claim itself.
 //
-// Ownership is a claim record with an epoch above all earlier ones. The store
-// refuses appends of lower epochs, and workers refuse orders with lower fencing
-// tokens, so a host that has missed its removal changes nothing.
+// A host becomes the owner by appending a claim record with an epoch above all
+// earlier ones. The store refuses appends of lower epochs and workers refuse
+// orders with lower fencing tokens, so an owner that has missed its replacement
+// cannot change anything.
 //
 // # Usage
 //
@@ -41,27 +42,27 @@
 	"lagooncourse/internal/plat/ports"
 )
 
-// Codec translates what callers send and get.
+// Codec decodes client requests and encodes responses.
 type Codec struct {
 	Job      func(id string, body []byte) (sched.Spec, error)
-	JobID    func(id string) error
+	JobID    func(id string) error // validates a job ID
 	Key      func(http.Header) string
-	Deadline func(http.Header) time.Duration // how long the caller waits; 0 if it does not say
+	Deadline func(http.Header) time.Duration // how long the client waits; 0 if not given
 	State    func(sched.Status) ([]byte, error)
 	Pending  func(int) ([]byte, error)
 }
 
-// Config describes a Host.
+// Config configures a Host.
 type Config struct {
 	Host       string
 	IP         string
 	Az         string
-	Listen     string // IP:port for callers
+	Listen     string // IP:port for client requests
 	Ready      string // IP:port of the readiness check
 	ReadyPath  string
-	PeerPort   int   // for frames, alike on all hosts
-	MetricPort int   // 0 serves no metrics
-	Power      int64 // processor time that the process may use, in millicores; 0 if unknown
+	PeerPort   int   // for calls between entry hosts; the same on all of them
+	MetricPort int   // 0 disables metrics
+	Power      int64 // CPU limit of the process in millicores; 0 if unknown
 
 	Store   ports.Store
 	Workers ports.Workers
@@ -77,8 +78,8 @@
 	ParseWorker   func(key string, value []byte) (sched.WorkerInfo, error)
 	WorkerID      func(key string) string
 
-	KeepMs   int64
-	LeaseMax int64
+	KeepMs   int64 // retention time of ended jobs
+	LeaseMax int64 // longest lease that a worker grants, in ms
 	Clock    clock.Clock
 	Logger   logr.Logger
 }
@@ -88,7 +89,7 @@
 	cfg     Config
 	log     logr.Logger
 	clock   clock.Clock
-	addr    string // for frames
+	addr    string // for calls from other entry hosts
 	store   *relayStore
 	site    *siteState
 	pool    *frame.Pool
@@ -102,22 +103,22 @@
 
 	cancel   context.CancelFunc
 	loops    sync.WaitGroup
-	rostered chan struct{} // closed when the other hosts have been read from the store
+	rostered chan struct{} // closed after the registered hosts were first read from the store
 	inFlight atomic.Int64
 
 	mu      sync.Mutex
 	peers   map[string]*peer
 	own     ownership
-	met     bool      // an owner has answered this process
+	met     bool      // this process has been in contact with an owner
 	since   time.Time // when this host became the owner
-	leaving bool
-	invited bool
+	leaving bool      // this host is shutting down
+	invited bool      // the owner has asked this host to take over
 	replica *replica
-	lead    *lead.Lead
+	lead    *lead.Lead    // nil unless this host is the owner
 	changed chan struct{} // closed and replaced when the owner changes
 }
 
-// Start opens the listeners and joins the other hosts.
+// Start opens the listeners and starts the background loops.
 func Start(cfg Config) (h *Host, err error) {
 	defer fault.Note(&err, "start entry host %q", cfg.Host)
 	if cfg.Clock == nil {
@@ -151,6 +152,7 @@
 	return h, nil
 }
 
+// listen opens the listeners and starts serving.
 func (h *Host) listen() (err error) {
 	h.frames = frame.NewServer(frame.ServerConfig{Addr: h.addr})
 	frame.Handle(h.frames, pingMethod, h.servePing)
@@ -182,7 +184,7 @@
 	return h.check(net.JoinHostPort(h.cfg.IP, strconv.Itoa(h.cfg.MetricPort)), own)
 }
 
-// check serves a small HTTP API for operators.
+// listenAux serves the readiness check or the metrics on their own address.
 func (h *Host) check(addr string, handler http.Handler) error {
 	s, err := httpd.Listen(httpd.Config{Addr: addr, Handler: handler})
 	if err != nil {
@@ -193,27 +195,29 @@
 	return nil
 }
 
-// serve answers requests in the background until the server is closed.
+// serve serves requests in the background until the server is closed.
 func (h *Host) serve(s *httpd.Server) {
 	go func() {
 		if err := s.Serve(); err != nil {
-			h.log.Error(err, "server ended", "addr", s.Addr())
+			h.log.Error(err, "HTTP server failed", "addr", s.Addr())
 		}
 	}()
 }
 
-// serveReady answers the balancer: a host is ready that knows the
-// configuration and reaches the owner.
+// serveReady serves the readiness check of the load balancer. A host is ready if
+// it has a configuration and recent contact with the owner.
 func (h *Host) serveReady(w http.ResponseWriter, _ *http.Request) {
 	if !h.ready() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
 
-// readyAge is how old the last contact with the owner may be. It outlasts an
-// ordinary takeover, in which requests wait instead of being turned away.
+// readyMaxAge is the maximum age of the last contact with the owner for a ready
+// host. It exceeds a normal takeover, during which requests wait instead of
+// failing.
 const readyAge = 2500 * time.Millisecond
 
+// ready reports whether this host can serve client requests.
 func (h *Host) ready() bool {
 	if !h.site.ready() {
 		return false
@@ -223,18 +227,18 @@
 	return !h.leaving && (h.lead != nil || h.own.addr != "" && h.clock.Now().Sub(h.own.heard) < readyAge)
 }
 
-// Reload takes note of new settings. None of them changes while the process
-// runs; what the operators change comes through the store.
+// Reload logs that new settings have no effect while the process runs. Operators'
+// changes arrive through the store.
 func (h *Host) Reload(cfg Config) {
 	if cfg.Listen != h.cfg.Listen || cfg.PeerPort != h.cfg.PeerPort {
-		h.log.Info("settings not taken up", "reason", "listen addresses change only with a restart", "listen", cfg.Listen, "peerPort", cfg.PeerPort)
+		h.log.Info("new settings ignored", "reason", "listen addresses change only with a restart", "listen", cfg.Listen, "peerPort", cfg.PeerPort)
 		return
 	}
-	h.log.Info("settings read again, nothing to take up")
+	h.log.Info("settings reloaded, nothing to apply")
 }
 
-// Stop ends the host gracefully: it stops being ready, hands the jobs over,
-// finishes what is in flight and closes.
+// Stop shuts the host down gracefully: it reports the host as not ready, hands
+// ownership over, completes the requests in flight and closes the listeners.
 func (h *Host) Stop(ctx context.Context) (err error) {
 	defer fault.Note(&err, "stop entry host %q", h.cfg.Host)
 	h.log.Info("stopping")
@@ -249,11 +253,11 @@
 	return err
 }
 
-// drainFor is how long the balancer may go on sending new connections: two
-// misses of one second each.
+// drainTime is how long the load balancer may still send new connections: two
+// failed checks at an interval of one second.
 const drainFor = 2300 * time.Millisecond
 
-// drain waits until the balancer has noticed and requests have ended.
+// drain waits for drainTime and until no request is in flight.
 func (h *Host) drain(ctx context.Context) {
 	until := h.clock.Now().Add(drainFor)
 	for ctx.Err() == nil && (h.clock.Now().Before(until) || h.inFlight.Load() > 0) {
@@ -261,7 +265,7 @@
 	}
 }
 
-// close ends loops and connections.
+// close stops the loops and the owner, and closes the connections.
 func (h *Host) close() {
 	if h.cancel != nil {
 		h.cancel()
@@ -270,7 +274,7 @@
 	l := h.lead
 	h.mu.Unlock()
 	if l != nil {
-		l.Stop("the process ends")
+		l.Stop("the process is exiting")
 	}
 	h.pool.Close()
 	if h.frames != nil {
@@ -281,7 +285,7 @@
 	}
 }
 
-// Kill ends the host at once, as a crash would.
+// Kill stops the host without a handover or draining, like a crash.
 func (h *Host) Kill() {
 	if h.front != nil {
 		_ = h.front.Close()
@@ -289,7 +293,7 @@
 	h.close()
 }
 
-// viewChanged hands a new configuration to the owner, if that is this host.
+// viewChanged passes a new configuration to the owner if this host is the owner.
 func (h *Host) viewChanged() {
 	v := h.site.view()
 	h.mu.Lock()
--- a/internal/node/gate/metrics.go
+++ b/internal/node/gate/metrics.go
@@ -10,11 +10,12 @@
 	"github.com/prometheus/client_golang/prometheus/collectors"
 )
 
+// metrics holds the metrics of an entry host.
 type metrics struct {
 	requests *prometheus.HistogramVec
 }
 
-// requestBuckets are in seconds, up to the callers' deadline.
+// requestBuckets range up to the usual client deadline, in seconds.
 var requestBuckets = []float64{.002, .005, .01, .025, .05, .1, .25, .5, 1, 2, 3, 5}
 
 func newMetrics(reg *prometheus.Registry) *metrics {
@@ -32,7 +33,7 @@
 	m.requests.WithLabelValues(kindNames[k], strconv.Itoa(status)).Observe(d.Seconds())
 }
 
-// dump is what a host believes, for people.
+// dump is the state of a host for operators.
 type dump struct {
 	Host        string     `json:"host"`
 	Owner       string     `json:"owner"`
@@ -45,6 +46,7 @@
 	Peers       []peerDump `json:"peers"`
 }
 
+// peerDump is the state of a peer for operators.
 type peerDump struct {
 	Addr    string `json:"addr"`
 	Az      string `json:"az"`
@@ -53,7 +55,7 @@
 	StoreOK bool   `json:"storeOk"`
 }
 
-// serveDump writes what this host believes and how old it is.
+// serveDump writes the state of this host as JSON.
 func (h *Host) serveDump(w http.ResponseWriter, _ *http.Request) {
 	now := h.clock.Now()
 	d := dump{Host: h.cfg.Host}
@@ -72,5 +74,5 @@
 	w.Header().Set("Content-Type", "application/json")
 	enc := json.NewEncoder(w)
 	enc.SetIndent("", "  ")
-	_ = enc.Encode(d) // the reader may be gone
+	_ = enc.Encode(d) // a write error means that the client has disconnected
 }
