--- a/internal/node/gate/claim.go
+++ b/internal/node/gate/claim.go
@@ -14,35 +14,36 @@
 	"lagooncourse/internal/plat/ports"
 )
 
-// replica is a host's copy of the jobs' records. The host that owns the jobs
-// hands its copy to the planner and reads everything anew afterwards.
+// replica is a host's copy of the job records. The owner passes its copy to the
+// planner and starts with an empty one when its ownership ends.
 type replica struct {
 	state *sched.State
-	grew  time.Time // when a record was read last
-	busy  bool      // being read or claimed
+	grew  time.Time // when the topic was last found to have grown
+	busy  bool      // in use by a sync or a claim
 }
 
 func newReplica() *replica { return &replica{state: sched.NewState()} }
 
-// Timing of the copy.
+// Intervals, timeouts and limits of replicas and claims.
 const (
 	replicaEvery   = 500 * time.Millisecond
 	replicaTimeout = 1500 * time.Millisecond
-	newestTimeout  = 5 * time.Second // some 20 pages of 500 keys at the most
+	newestTimeout  = 5 * time.Second // for up to about 20 pages of 500 keys
 	claimEvery     = 50 * time.Millisecond
 	claimTries     = 6
 	claimPause     = 50 * time.Millisecond
 )
 
-// An epoch is a counter and a random part, so that two hosts that claim at the
-// same time use different epochs.
+// epochRandomBits is the size of the random low part of an epoch. The random part
+// gives two hosts that claim at the same time different epochs.
 const epochRandomBits = 10
 
+// nextEpoch returns an epoch higher than last.
 func nextEpoch(last int64) int64 {
 	return (last>>epochRandomBits+1)<<epochRandomBits | (1 + rand.Int64N(1<<epochRandomBits-1))
 }
 
-// replicaLoop keeps the copy warm on the hosts next in line.
+// replicaLoop keeps the replica up to date if this host is a standby.
 func (h *Host) replicaLoop(ctx context.Context) {
 	begun := h.clock.Now()
 	select {
@@ -53,16 +54,17 @@
 	for ctx.Err() == nil {
 		if h.followsRecords(h.clock.Now().Sub(begun) < firstPings) {
 			if err := h.follow(ctx); err != nil {
-				h.log.V(1).Info("records not read", "err", err.Error())
+				h.log.V(1).Info("failed to read job records", "err", err.Error())
 			}
 		}
 		clock.Sleep(ctx, replicaEvery)
 	}
 }
 
-// followsRecords reports whether this host keeps a copy now. After a loss of
-// power of all hosts, fresh ones go by the roster: if all of them read
-// everything at once, the store takes seconds to serve them.
+// shouldSync reports whether this host keeps its replica up to date now. After a
+// power loss of all hosts, the restarted ones (fresh is set) select the standbys
+// from the registered hosts: if all hosts read all records at once, the store
+// takes seconds to serve them.
 func (h *Host) followsRecords(fresh bool) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -72,13 +74,14 @@
 	return inLine(peer{addr: h.addr, power: h.cfg.Power}, h.own.addr, h.peerList(), fresh, h.clock.Now())
 }
 
-// follow brings the copy up to date. It is a no-op while another call does.
+// syncReplica brings the replica up to date. It fails if the replica is in use or
+// this host is the owner.
 func (h *Host) follow(ctx context.Context) (err error) {
 	h.mu.Lock()
 	r := h.replica
 	if r.busy || h.lead != nil {
 		h.mu.Unlock()
-		return fault.New(fault.Conflict, fault.NotRun, "the records are being read")
+		return fault.New(fault.Conflict, fault.NotRun, "the replica is in use")
 	}
 	r.busy = true
 	h.mu.Unlock()
@@ -97,13 +100,14 @@
 	return err
 }
 
-// ownerProbe is how long an owner that a process has only read of has to answer
-// it: several round trips.
+// ownerProbeTimeout is how long a process that has not been in contact with any
+// owner waits for the owner named in the records: several round trips.
 const ownerProbe = 150 * time.Millisecond
 
-// presumed returns when an owner that is only known from the records counts as
-// heard. After a loss of power of all hosts nobody answers any more, so a process
-// that has met no owner yet waits only for ownerProbe. The caller holds the lock.
+// assumedContact returns the assumed time of the last contact with an owner that
+// is known only from the records. After a power loss of all hosts that owner is
+// gone, so a process that has not been in contact with any owner suspects it after
+// ownerProbeTimeout. The caller holds h.mu.
 func (h *Host) presumed() time.Time {
 	now := h.clock.Now()
 	if h.met {
@@ -112,7 +116,8 @@
 	return now.Add(ownerProbe - suspectAfter)
 }
 
-// read applies records until the end of the topic, or up to the offset to.
+// readRecords applies records up to the offset to, or up to the end of the topic
+// if to is negative.
 func (h *Host) read(ctx context.Context, r *replica, to int64) error {
 	if r.state.Next == 0 {
 		if err := h.readNewest(ctx, r); err != nil {
@@ -149,7 +154,7 @@
 	}
 }
 
-// readNewest starts the copy anew from the newest record of each key.
+// readNewest rebuilds the replica from the newest record of each key.
 func (h *Host) readNewest(ctx context.Context, r *replica) error {
 	rctx, cancel := context.WithTimeout(ctx, newestTimeout)
 	defer cancel()
@@ -166,13 +171,15 @@
 	return nil
 }
 
+// applyRecord applies a record to s. It logs and skips an invalid one.
 func (h *Host) apply(s *sched.State, rec ports.Record) {
 	if err := s.Apply(rec.Key, rec.Value); err != nil {
-		h.log.Error(err, "record ignored", "offset", rec.Offset)
+		h.log.Error(err, "ignoring invalid job record", "offset", rec.Offset)
 	}
 }
 
-// claimLoop claims the ownership when nobody holds it.
+// claimLoop claims ownership when there is no live owner, and hands ownership over
+// to a much more powerful host.
 func (h *Host) claimLoop(ctx context.Context) {
 	clock.Sleep(ctx, firstPings)
 	for ctx.Err() == nil {
@@ -184,7 +191,7 @@
 	}
 }
 
-// mayClaim applies the rule of contest to what this host knows.
+// mayClaim reports whether this host should claim ownership now.
 func (h *Host) mayClaim() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -197,7 +204,7 @@
 		grows: now.Sub(h.replica.grew) < 2*replicaEvery+claimStagger,
 	}
 	if h.own.addr == "" || h.own.addr == h.addr {
-		c.silent += suspectAfter - firstPings // nobody to wait for
+		c.silent += suspectAfter - firstPings // no owner is known, so none has to time out
 	}
 	for _, p := range h.peerList() {
 		if !p.heard.IsZero() {
@@ -208,11 +215,11 @@
 	return c.shouldClaim()
 }
 
-// yieldAfter is how long an owner has to know a stronger host before it hands
-// over, so that hosts that start together settle first.
+// handOverAfter is the minimum time of ownership before a handover to a more
+// powerful host. It lets hosts that start together find each other first.
 const yieldAfter = 1500 * time.Millisecond
 
-// yield hands the jobs over to a host that is much stronger.
+// handOverToStronger hands ownership over to a much more powerful host, if any.
 func (h *Host) yield(ctx context.Context) {
 	h.mu.Lock()
 	now := h.clock.Now()
@@ -223,23 +230,24 @@
 	peers := h.peerList()
 	h.mu.Unlock()
 	if addr, ok := successor(h.cfg.Power, peers, now); ok {
-		h.transfer(ctx, []string{addr}, "a stronger host lives")
+		h.transfer(ctx, []string{addr}, "handing over to a more powerful host")
 	}
 }
 
-// tryClaim reads all records, claims, and starts to act as the owner.
+// tryClaim brings the replica up to date, appends a claim and, if the claim holds,
+// starts the owner.
 func (h *Host) tryClaim(ctx context.Context) {
 	began := h.clock.Now()
 	h.mu.Lock()
 	known := h.own
 	h.mu.Unlock()
 	if err := h.follow(ctx); err != nil {
-		h.log.V(1).Info("cannot claim", "err", err.Error())
+		h.log.V(1).Info("no claim, failed to sync the replica", "err", err.Error())
 		return
 	}
 	h.mu.Lock()
 	if h.own.epoch != known.epoch && h.own.addr != h.addr || h.replica.busy {
-		h.mu.Unlock() // a claim that this host had not heard of
+		h.mu.Unlock() // the records hold a claim of another host
 		return
 	}
 	r := h.replica
@@ -264,7 +272,8 @@
 	h.become(c, r.state)
 }
 
-// claim appends the claim record, and repeats it until the outcome is known.
+// appendClaim appends the claim record and retries until the outcome is known or
+// claimTries is reached.
 func (h *Host) claim(ctx context.Context, c sched.Claim) (offset int64, err error) {
 	key, value, err := sched.ClaimRecord(c)
 	if err != nil {
@@ -283,7 +292,7 @@
 	return offset, err
 }
 
-// become starts the owner. The caller holds the lock.
+// startOwner starts the owner. The caller holds h.mu.
 func (h *Host) become(c sched.Claim, s *sched.State) {
 	l := lead.Start(lead.Config{
 		Claim: c, Topic: h.cfg.JobTopic, State: s, Store: h.store, Workers: h.cfg.Workers, Advisers: h.desks,
@@ -302,13 +311,13 @@
 		if h.lead == l {
 			h.lead = nil
 			h.replica = newReplica()
-			h.own.heard = h.clock.Now() // the host that has claimed is heard soon
+			h.own.heard = h.clock.Now() // gives the new owner time to make contact
 			h.ownerChanged()
 		}
 	}()
 }
 
-// announce tells all peers of a new owner.
+// announce sends a heartbeat that names the new owner to all peers.
 func (h *Host) announce() {
 	h.mu.Lock()
 	var addrs []string
@@ -321,21 +330,22 @@
 	}
 }
 
-// handOver takes this host off the roster and hands the jobs over.
+// leaveAndHandOver deletes this host's registration and hands ownership over.
 func (h *Host) handOver(ctx context.Context) {
-	_ = h.register(ctx, nil) // without the entry's removal peers find out by themselves
-	h.transfer(ctx, h.heirs(), "the process is asked to end")
+	_ = h.register(ctx, nil) // on failure, peers detect the stop by missing heartbeats
+	h.transfer(ctx, h.heirs(), "the process is shutting down")
 }
 
-// heirs returns the peers that could own the jobs, the most powerful first.
+// handoverCandidates returns the peers that can take ownership over, the most
+// powerful first.
 func (h *Host) heirs() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return heirs(h.peerList(), h.clock.Now())
 }
 
-// transfer ends the ownership and asks the first of the hosts that answers to
-// claim it.
+// transferOwnership stops the owner on this host and asks the hosts in order to
+// claim ownership, until one answers.
 func (h *Host) transfer(ctx context.Context, addrs []string, reason string) {
 	h.mu.Lock()
 	l := h.lead
--- a/internal/node/gate/member.go
+++ b/internal/node/gate/member.go
@@ -11,14 +11,14 @@
 	"lagooncourse/internal/plat/ports"
 )
 
-// Timing of the roster.
+// Intervals and timeouts of the host registry.
 const (
 	rosterEvery   = 2 * time.Second
 	rosterFirst   = 200 * time.Millisecond
 	rosterTimeout = time.Second
 )
 
-// rosterLoop registers this host in the store and learns of the others.
+// hostsLoop registers this host in the store and polls the registered hosts.
 func (h *Host) rosterLoop(ctx context.Context) {
 	next, registered, known := int64(-1), false, false
 	for ctx.Err() == nil {
@@ -39,23 +39,23 @@
 	}
 }
 
-// rosterEntry is what a host writes about itself.
+// hostEntry is the stored registration of a host.
 type rosterEntry struct {
 	Az    string
 	Power int64 // millicores
 }
 
-// enlist writes this host's entry.
+// registerSelf writes this host's registration.
 func (h *Host) enlist(ctx context.Context) error {
 	value, err := frame.Encode(rosterEntry{Az: h.cfg.Az, Power: h.cfg.Power})
 	if err != nil {
-		h.log.Error(err, "roster entry not encoded")
+		h.log.Error(err, "failed to encode the host registration")
 		return err
 	}
 	return h.register(ctx, value)
 }
 
-// register writes this host's entry; without a value it removes it.
+// writeHostEntry writes this host's registration. An empty value deletes it.
 func (h *Host) register(ctx context.Context, value []byte) error {
 	ctx, cancel := context.WithTimeout(ctx, rosterTimeout)
 	defer cancel()
@@ -65,7 +65,8 @@
 	return err
 }
 
-// readRoster reads the entries of the hosts.
+// readHosts applies the registrations from the offset next on, or the newest one
+// of each host if next is negative. It returns the next offset.
 func (h *Host) readRoster(ctx context.Context, next int64) (int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, rosterTimeout)
 	defer cancel()
@@ -94,7 +95,7 @@
 	return next, nil
 }
 
-// takeRoster adds and removes peers.
+// applyHosts adds and removes peers.
 func (h *Host) takeRoster(records []ports.Record) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -106,7 +107,7 @@
 		case h.peers[r.Key] == nil:
 			e, err := frame.Decode[rosterEntry](r.Value)
 			if err != nil {
-				h.log.Info("roster entry ignored", "peer", r.Key, "err", err.Error())
+				h.log.Info("ignoring invalid host registration", "peer", r.Key, "err", err.Error())
 				continue
 			}
 			h.peers[r.Key] = &peer{addr: r.Key, az: e.Az, power: e.Power}
@@ -114,8 +115,7 @@
 	}
 }
 
-// pingLoop exchanges heartbeats: with the owner if one is known, otherwise
-// with all peers.
+// pingLoop sends heartbeats to peers.
 func (h *Host) pingLoop(ctx context.Context) {
 	round := 0
 	for ctx.Err() == nil {
@@ -127,15 +127,17 @@
 	}
 }
 
-// pingAllEvery is every how many rounds all peers are asked, so that each host
-// knows who lives before it has to.
+// pingAllRounds is the number of rounds between heartbeats to all peers. They keep
+// the list of live peers up to date for a takeover.
 const pingAllEvery = 5
 
-// pingSilentEvery is every how many rounds hosts are asked that have been silent
-// for long: about every five seconds.
+// pingSilentRounds is the number of rounds, about 5 s, between heartbeats to peers
+// that have been silent for longer than silentPeerAge.
 const pingSilentEvery = 25
 
-// pingAddrs returns whom to ask in a round.
+// pingAddrs returns the peers to ping in a round. Every pingAllRounds rounds, and
+// without recent contact with the owner in every round, these are all peers. In the
+// other rounds they are the owner only, or none if this host is the owner.
 func (h *Host) pingAddrs(round int) []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -156,7 +158,7 @@
 	return list
 }
 
-// self returns this host's heartbeat.
+// self returns the heartbeat of this host.
 func (h *Host) self() ping {
 	site := h.site.offset()
 	storeOK := h.store.ok()
@@ -172,21 +174,21 @@
 	return p
 }
 
-// ping asks one peer.
+// ping sends a heartbeat to a peer and processes its answer.
 func (h *Host) ping(ctx context.Context, addr string) {
 	ctx, cancel := context.WithTimeout(ctx, pingTimeout)
 	defer cancel()
 	a, err := frame.Call(ctx, h.pool, addr, pingMethod, h.self())
 	if err != nil {
 		if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-			h.pool.Drop(addr) // the connection may have gone silent
+			h.pool.Drop(addr) // the connection may be dead
 		}
 		return
 	}
 	h.hear(ctx, a)
 }
 
-// servePing answers a peer.
+// servePing processes a peer's heartbeat and answers with this host's.
 func (h *Host) servePing(ctx context.Context, p ping) (ping, error) {
 	h.hear(context.WithoutCancel(ctx), p)
 	if p.Claim {
@@ -197,7 +199,7 @@
 	return h.self(), nil
 }
 
-// hear takes a peer's heartbeat.
+// processPing updates the peer and the owner from a peer's heartbeat.
 func (h *Host) hear(ctx context.Context, a ping) {
 	now := h.clock.Now()
 	h.mu.Lock()
@@ -220,25 +222,25 @@
 	}
 }
 
-// setOwner takes note of a later ownership, whose holder was heard at the given
-// time. The caller holds the lock.
+// setOwner records an owner with a higher epoch and the time of the last contact
+// with it. It stops the owner on this host if another host is the new one. The
+// caller holds h.mu.
 func (h *Host) setOwner(epoch int64, addr string, heard time.Time) {
 	h.own = ownership{epoch: epoch, addr: addr, heard: heard}
 	if h.lead != nil && addr != h.addr {
-		h.lead.Stop("a peer has claimed a later epoch")
+		h.lead.Stop("a peer has claimed a higher epoch")
 	}
 	h.ownerChanged()
 	h.log.Info("owner", "epoch", epoch, "addr", addr)
 }
 
-// ownerChanged wakes the requests that wait for an owner. The caller holds the
-// lock.
+// ownerChanged wakes the requests that wait for an owner. The caller holds h.mu.
 func (h *Host) ownerChanged() {
 	close(h.changed)
 	h.changed = make(chan struct{})
 }
 
-// peerList returns a copy of the peers. The caller holds the lock.
+// peerList returns a copy of the peers. The caller holds h.mu.
 func (h *Host) peerList() []peer {
 	list := make([]peer, 0, len(h.peers))
 	for _, p := range h.peers {
@@ -247,8 +249,8 @@
 	return list
 }
 
-// storePeers returns peers that can relay a call to the store, the likeliest
-// first.
+// storePeers returns up to n peers that can relay a call to the store: those in
+// this host's availability zone first, then those with the latest contact.
 func (h *Host) storePeers(n int) []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -275,8 +277,7 @@
 	return addrs
 }
 
-// adviseAddrs returns the hosts through which advice can be asked, this one
-// last.
+// adviseAddrs returns the hosts that can send advice requests, this host last.
 func (h *Host) adviseAddrs() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/node/gate/peers.go
+++ b/internal/node/gate/peers.go
@@ -5,54 +5,55 @@
 	"time"
 )
 
-// peer is another entry host as this one has heard of it.
+// peer is the state of another entry host, from its heartbeats.
 type peer struct {
 	addr    string
 	az      string
-	heard   time.Time // when it answered last
+	heard   time.Time // last heartbeat; zero if there was none
 	leaving bool
 	power   int64 // millicores
 	owner   string
-	heardBy time.Duration // age of its contact with the owner, when it answered
+	heardBy time.Duration // age of its last contact with the owner at that heartbeat
 	storeOK bool
 }
 
-// ownership is what this host believes about the owner of the jobs.
+// ownerInfo is the current owner of the jobs as seen by this host.
 type ownership struct {
 	epoch int64
 	addr  string
-	heard time.Time // when the owner answered last, or was announced
+	heard time.Time // last contact with the owner, direct or reported by a peer
 }
 
-// Timing of membership.
+// Intervals and timeouts of membership and election.
 const (
 	pingEvery    = 200 * time.Millisecond
 	pingTimeout  = 500 * time.Millisecond
 	suspectAfter = 800 * time.Millisecond // four heartbeats
 	claimStagger = 400 * time.Millisecond // longer than a claim takes
-	ownerFresh   = 700 * time.Millisecond // a peer that has heard the owner since then speaks against a claim
+	ownerFresh   = 700 * time.Millisecond // a peer's contact with the owner within this time prevents a claim
 	aloneAfter   = 2500 * time.Millisecond
-	forgetPeer   = 60 * time.Second // a host that has been silent for longer is asked less often
+	forgetPeer   = 60 * time.Second // peers silent for longer are pinged less often
 	livePeer     = 900 * time.Millisecond
-	firstPings   = 250 * time.Millisecond // to hear of an owner before the first claim
+	firstPings   = 250 * time.Millisecond // time to find the owner before the first claim
 )
 
-// contest is what decides whether a host should claim the ownership.
+// election holds the inputs of the decision to claim ownership.
 type contest struct {
 	self    string
 	power   int64 // millicores of this host
 	now     time.Time
-	silent  time.Duration // since the owner was heard
+	silent  time.Duration // since the last contact with the owner
 	peers   []peer
-	grows   bool // the jobs' topic has grown lately, so an owner lives
+	grows   bool // the job topic has grown recently, so there is a live owner
 	invited bool // the owner has asked this host to take over
 }
 
-// shouldClaim decides whether this host claims the ownership now. Hosts take
-// turns by rankOf, so that usually one claims; the store decides between two.
+// shouldClaim reports whether this host should claim ownership now. The delay
+// before a claim depends on rankOf, so that usually only one host claims. The
+// store decides between concurrent claims.
 //
-// A host that hears no peer at all may itself be the one that is cut off. It
-// claims only if nobody has written to the topic for a while.
+// A host without contact to any peer may be the isolated one. It claims only after
+// isolatedClaimDelay, and only if the topic has not grown recently.
 func (c contest) shouldClaim() bool {
 	if c.invited {
 		return true
@@ -80,8 +81,8 @@
 	return c.silent >= suspectAfter+time.Duration(rankOf(c.self, live))*claimStagger
 }
 
-// rankOf returns a host's place among those that could own the jobs, the most
-// powerful first: a small host cannot carry the orders of a large fleet.
+// rankOf returns a host's position in the takeover order. The most powerful host
+// is first, since a small host cannot handle the orders of a large fleet.
 func rankOf(self string, hosts []peer) int {
 	byPower(hosts)
 	for i, p := range hosts {
@@ -92,7 +93,7 @@
 	return len(hosts)
 }
 
-// byPower orders hosts by power, and by address where that is alike.
+// sortByPower sorts hosts by descending power, then by address.
 func byPower(hosts []peer) {
 	sort.Slice(hosts, func(a, b int) bool {
 		if hosts[a].power != hosts[b].power {
@@ -102,15 +103,15 @@
 	})
 }
 
-// recentPeer is how long ago a peer may have been heard to count as living
-// where nothing is suspected: two rounds in which all peers are asked.
+// recentPeerAge is the maximum age of the last heartbeat of a peer that counts as
+// live outside an election: two rounds of heartbeats to all peers.
 const recentPeer = 2 * pingAllEvery * pingEvery
 
-// stays reports whether the peer lives and is not ending.
+// isActive reports whether the peer is live and not shutting down.
 func (p peer) stays(now time.Time) bool { return !p.leaving && now.Sub(p.heard) < recentPeer }
 
-// heirs returns the hosts that could take the jobs over, the most powerful
-// first. A host that is ending itself is none.
+// handoverCandidates returns the addresses of the active peers, the most
+// powerful first.
 func heirs(peers []peer, now time.Time) (addrs []string) {
 	var list []peer
 	for _, p := range peers {
@@ -125,15 +126,15 @@
 	return addrs
 }
 
-// warmCopies is how many hosts besides the owner keep a copy of the records:
-// one more than the hosts whose loss at once is to be borne today. A host
-// without one reads everything when its turn comes.
+// standbyHosts is the number of hosts besides the owner that keep a replica of the
+// job records: one more than the number of simultaneous host failures to tolerate.
+// Any other host reads all records when it claims.
 const warmCopies = 3
 
-// inLine reports whether a host is among those that would take over next. Only
-// they follow the records: on a link of 10 Mbit/s, reading them twice a second
-// holds up everything else for 140 ms. With fresh set this host has only begun,
-// and peers that it has not asked yet count as living.
+// isStandby reports whether a host is among the first standbyHosts in the takeover
+// order. Only these hosts read the job records: on a 10 Mbit/s link, reading them
+// twice per second delays other traffic by 140 ms. If fresh is set, this host has
+// just started, and peers without a heartbeat count as live.
 func inLine(self peer, owner string, peers []peer, fresh bool, now time.Time) bool {
 	list := []peer{self}
 	for _, p := range peers {
@@ -144,11 +145,12 @@
 	return rankOf(self.addr, list) < warmCopies
 }
 
-// muchStronger is how many times as powerful a host must be for a weaker owner
-// to hand the jobs over to it.
+// handoverPowerRatio is the minimum ratio of a host's power to the owner's power
+// for a handover to that host.
 const muchStronger = 2
 
-// successor returns the host to which an owner should hand over, if any.
+// strongerPeer returns the most powerful live peer if the owner should hand over to
+// it.
 func successor(power int64, peers []peer, now time.Time) (addr string, ok bool) {
 	var best peer
 	for _, p := range peers {
--- a/internal/node/gate/peers_test.go
+++ b/internal/node/gate/peers_test.go
@@ -24,16 +24,16 @@
 		c    contest
 		want bool
 	}{
-		{"the owner was heard", contest{silent: 700 * time.Millisecond}, false},
-		{"nobody else is known", contest{silent: suspectAfter}, true},
+		{"recent contact with the owner", contest{silent: 700 * time.Millisecond}, false},
+		{"no other host is known", contest{silent: suspectAfter}, true},
 		{"first by address", contest{silent: suspectAfter, peers: []peer{live("b", 0)}}, true},
 		{"second by address", contest{self: "c", silent: suspectAfter, peers: []peer{live("b", 0)}}, false},
 		{"second, later", contest{self: "c", silent: suspectAfter + claimStagger, peers: []peer{live("b", 0)}}, true},
-		{"a stronger host goes first", contest{silent: suspectAfter, power: 192, peers: []peer{live("b", 800)}}, false},
-		{"a peer hears the owner", contest{silent: time.Minute, peers: []peer{hears("b")}}, false},
-		{"alone, the topic grows", contest{silent: time.Minute, grows: true, peers: []peer{dead("b")}}, false},
-		{"alone, for long", contest{silent: aloneAfter + 1, peers: []peer{dead("b")}}, true},
-		{"alone, not for long", contest{silent: aloneAfter - 1, peers: []peer{dead("b")}}, false},
+		{"a more powerful host claims first", contest{silent: suspectAfter, power: 192, peers: []peer{live("b", 800)}}, false},
+		{"a peer has contact with the owner", contest{silent: time.Minute, peers: []peer{hears("b")}}, false},
+		{"isolated, the topic grows", contest{silent: time.Minute, grows: true, peers: []peer{dead("b")}}, false},
+		{"isolated, after the delay", contest{silent: aloneAfter + 1, peers: []peer{dead("b")}}, true},
+		{"isolated, before the delay", contest{silent: aloneAfter - 1, peers: []peer{dead("b")}}, false},
 		{"invited", contest{invited: true}, true},
 	} {
 		if c.c.self == "" {
@@ -54,7 +54,7 @@
 	assert.Assert(t, ok)
 	assert.Equal(t, addr, "a")
 	_, ok = successor(500, peers, now)
-	assert.Assert(t, !ok, "not much stronger")
+	assert.Assert(t, !ok, "less than twice as powerful")
 }
 
 func TestEpochsRise(t *testing.T) {
@@ -66,8 +66,8 @@
 	}
 }
 
-// TestHeirs was seen as an outage of 0.9 s at each stop of an owner: the jobs
-// were handed to a host that was being stopped too.
+// TestHeirs guards against a handover to a host that is shutting down too, which
+// caused an outage of 0.9 s.
 func TestHeirs(t *testing.T) {
 	now := time.Unix(1000, 0)
 	got := heirs([]peer{
@@ -77,8 +77,9 @@
 	assert.DeepEqual(t, got, []string{"e", "b", "c"})
 }
 
-// TestInLine was seen as 140 ms in one question of six on fwl-numbering-grown:
-// all 35 hosts read all records, over links of 10 Mbit/s.
+// TestInLine guards against replicas on hosts that are not standbys. When all of 35
+// hosts read all job records over 10 Mbit/s links, one advice request in six was
+// delayed by 140 ms.
 func TestInLine(t *testing.T) {
 	now := time.Unix(1000, 0)
 	peers := []peer{{addr: "o", heard: now, power: 800}, {addr: "gone", heard: now.Add(-time.Minute), power: 900}}
@@ -104,17 +105,18 @@
 	}
 	assert.DeepEqual(t, copies, []string{"a", "b", "c"})
 	alone := []peer{{addr: "a", heard: now.Add(-time.Minute), power: 800}}
-	assert.Assert(t, inLine(peer{addr: "s1", power: 192}, "a", alone, false, now), "a host that hears nobody")
+	assert.Assert(t, inLine(peer{addr: "s1", power: 192}, "a", alone, false, now), "a host without contact to any peer")
 	var unheard []peer
 	for _, a := range []string{"a", "b", "c"} {
 		unheard = append(unheard, peer{addr: a, power: 800})
 	}
-	assert.Assert(t, !inLine(peer{addr: "s1", power: 192}, "", unheard, true, now), "a host that has just begun goes by the roster")
-	assert.Assert(t, inLine(peer{addr: "s1", power: 192}, "", unheard, false, now), "peers that did not answer do not count")
+	assert.Assert(t, !inLine(peer{addr: "s1", power: 192}, "", unheard, true, now), "a host that has just started counts peers without a heartbeat")
+	assert.Assert(t, inLine(peer{addr: "s1", power: 192}, "", unheard, false, now), "peers that have not answered do not count")
 }
 
-// TestPingsGoOn asks hosts that have been silent for long less often, but never
-// stops: two sides of a long partition would not find each other again.
+// TestPingsGoOn checks that hosts that have been silent for long are pinged less
+// often, but are still pinged. Otherwise the two sides of a long network partition
+// would not find each other again.
 func TestPingsGoOn(t *testing.T) {
 	c := clock.NewManual(time.Unix(1000, 0))
 	now := c.Now()
@@ -131,10 +133,10 @@
 	assert.DeepEqual(t, asked, map[string]int{"new": rounds, "live": rounds, "gone": 4})
 }
 
-// TestOwnerOfRecords was seen on hanbit-mcl-grown and fwl-numbering: after a loss
-// of power of all hosts, the first claim waited 0.8 s for an owner that stood in
-// the records and had lost power too, and hosts that had read of it told each
-// other that it lived.
+// TestOwnerOfRecords guards against a delayed first claim after a power loss of all
+// hosts. The first claim waited 0.8 s for the owner named in the records, which had
+// lost power too, and hosts that had only read of it reported it to each other as
+// live.
 func TestOwnerOfRecords(t *testing.T) {
 	c := clock.NewManual(time.Unix(1000, 0))
 	newHost := func() *Host {
@@ -146,7 +148,7 @@
 	}
 	h := newHost()
 	h.setOwner(5, "dead", h.presumed())
-	assert.Assert(t, !h.mayClaim(), "the owner has had no time to answer")
+	assert.Assert(t, !h.mayClaim(), "the owner has not had time to answer")
 	c.Advance(ownerProbe)
 	assert.Assert(t, h.mayClaim())
 
@@ -154,9 +156,9 @@
 	h.met = true
 	h.setOwner(5, "o", h.presumed())
 	c.Advance(suspectAfter - time.Millisecond)
-	assert.Assert(t, !h.mayClaim(), "a host that has met an owner waits for the new one")
+	assert.Assert(t, !h.mayClaim(), "a host that has been in contact with an owner waits for the new one")
 
 	h = newHost()
 	h.hear(t.Context(), ping{Addr: "b", Epoch: 5, Owner: "dead", OwnerAgeMs: 700})
-	assert.Equal(t, c.Now().Sub(h.own.heard), 700*time.Millisecond, "hearsay is as old as it says")
+	assert.Equal(t, c.Now().Sub(h.own.heard), 700*time.Millisecond, "an owner reported by a peer has the reported age")
 }
