--- a/internal/node/gate/advise.go
+++ b/internal/node/gate/advise.go
@@ -12,26 +12,28 @@
 	"lagooncourse/internal/plat/ports"
 )
 
-// desks are the hosts through which advice is asked. The service answers one
-// question at a time from each host, so each has one question under way.
+// adviceHosts distributes advice requests over the entry hosts. The advice service
+// serves one request at a time from each host, so each host has at most one in
+// flight.
 type desks struct {
 	host *Host
 
 	mu    sync.Mutex
 	busy  map[string]bool
-	after map[string]time.Time // a desk that has failed is left alone until then
+	after map[string]time.Time // earliest next request through a host after a failure
 }
 
 var _ lead.Advisers = (*desks)(nil)
 
+// Limits of advice requests.
 const (
-	longAskMs    = 150 // questions that take longer leave some desks to short ones
-	shortDesks   = 3   // one of so many desks takes only short questions
-	adviseMargin = 300 * time.Millisecond
-	deskRest     = time.Second // after a question without an answer
+	longAskMs    = 150                    // longer requests do not use the hosts reserved for short ones
+	shortDesks   = 3                      // one host in three is reserved for short requests
+	adviseMargin = 300 * time.Millisecond // upper bound of the assumed age of a forwarded answer
+	deskRest     = time.Second            // pause of a host after a failed request
 )
 
-// available returns the desks that may take a question, this host last.
+// available returns the hosts that can take a request, this host last.
 func (d *desks) available(long bool) []string {
 	addrs := d.host.adviseAddrs()
 	if long && len(addrs) >= shortDesks {
@@ -49,11 +51,11 @@
 	return list
 }
 
-// Idle reports whether any desk is free.
+// Idle reports whether any host is free.
 func (d *desks) Idle() bool { return len(d.available(false)) > 0 }
 
-// Take reserves the last free desk: short questions stay with those that long
-// ones must not take.
+// Take reserves the last free host, so that a short request uses a host reserved
+// for short requests if one is free.
 func (d *desks) Take(costMs float64) (string, bool) {
 	list := d.available(costMs > longAskMs)
 	if len(list) == 0 {
@@ -66,7 +68,7 @@
 	return desk, true
 }
 
-// release frees a desk.
+// release frees a host. After a failed request, the host pauses for adviceHostPause.
 func (d *desks) release(desk string, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -76,7 +78,7 @@
 	}
 }
 
-// Advise asks through the desk that the question has taken.
+// Advise sends a request through the host reserved for it and releases that host.
 func (d *desks) Advise(ctx context.Context, w sched.Want) (a ports.Advice, age time.Duration, err error) {
 	defer func() { d.release(w.Desk, err == nil) }()
 	h := d.host
@@ -91,11 +93,11 @@
 	return b.Advice, min(max(took, 0), adviseMargin), err
 }
 
-// serveAdvise asks the service from this host.
+// serveAdvise sends a request of the owner to the advice service.
 func (h *Host) serveAdvise(ctx context.Context, m adviseMsg) (adviseAnswer, error) {
 	a, err := h.cfg.Adviser.Advise(ctx, ports.AdviceRequest{Step: m.Step, Workers: m.Workers})
 	if err != nil {
-		return adviseAnswer{}, fault.New(fault.Unavailable, fault.NotRun, "advice: %v", err)
+		return adviseAnswer{}, fault.New(fault.Unavailable, fault.NotRun, "advice service: %v", err)
 	}
 	return adviseAnswer{Advice: a}, nil
 }
--- a/internal/node/gate/relay.go
+++ b/internal/node/gate/relay.go
@@ -11,46 +11,45 @@
 	"lagooncourse/internal/plat/ports"
 )
 
-// relayStore is a store that is reached directly or, when the platform turns
-// this host away, through a peer. Appends carry epoch and sequence number, so
-// an append may be sent on both ways.
+// relayStore calls the store directly or, when the store refuses or does not
+// answer this host, through a peer. Appends carry an epoch and a sequence number,
+// so the same append may be sent on both paths.
 type relayStore struct {
 	direct ports.Store
 	host   *Host
 
 	mu     sync.Mutex
-	badAt  time.Time // when a direct call failed last
-	bads   int       // failures since a direct call succeeded
-	goodAt time.Time // when a direct call succeeded last
+	badAt  time.Time // last failed direct call
+	bads   int       // failures since the last successful direct call
+	goodAt time.Time // last successful direct call
 }
 
 var _ ports.Store = (*relayStore)(nil)
 
-// A direct way that has failed is left unused while peers relay, longer after
-// each failure.
+// Exponential backoff of direct calls while peers relay.
 const (
 	retryDirect     = 400 * time.Millisecond
 	mostRetryDirect = 3200 * time.Millisecond
 )
 
-// hedgeAfter is how long the direct way may take alone: ten times what the store
-// takes, and less than an urgent job can wait.
+// hedgeDelay is how long a direct call may take before peers are tried as well: ten
+// times the usual store latency, and less than the start latency of urgent jobs.
 const hedgeAfter = 80 * time.Millisecond
 
-// relays is how many peers are tried for one call.
+// maxRelays is the maximum number of peers tried for one call.
 const relays = 2
 
-// ok reports whether the store has answered this host itself lately.
+// healthy reports whether the last direct call succeeded.
 func (s *relayStore) ok() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return !s.goodAt.IsZero() && !s.badAt.After(s.goodAt)
 }
 
-// note takes the outcome of a direct call.
+// recordResult records the result of a direct call.
 func (s *relayStore) note(ctx context.Context, err error) {
 	if err != nil && errors.Is(ctx.Err(), context.Canceled) {
-		return // the caller has ended the call, which says nothing about the store
+		return // canceled by the caller, not a store failure
 	}
 	if err != nil && !answered(err) {
 		s.fail(err.Error())
@@ -64,7 +63,7 @@
 	s.goodAt, s.bads = s.host.clock.Now(), 0
 }
 
-// fail takes note that the direct way does not serve.
+// recordFailure records a failure of the direct path.
 func (s *relayStore) fail(reason string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -75,15 +74,15 @@
 	s.bads++
 }
 
-// answered reports whether the error is the store's own answer to what was
-// asked, which a peer would get too.
+// definitive reports whether err is the store's answer to the request itself, so
+// that a peer would get the same answer.
 func answered(err error) bool {
 	var gone *ports.GoneError
 	reason := ports.ReasonOf(err)
 	return errors.As(err, &gone) || reason != "" && reason != ports.RefusedBusy && reason != ports.RefusedOther
 }
 
-// skipDirect reports whether the direct way has failed just now.
+// skipDirect reports whether the direct path is in backoff.
 func (s *relayStore) skipDirect() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -91,24 +90,24 @@
 	return s.badAt.After(s.goodAt) && s.host.clock.Now().Sub(s.badAt) < pause
 }
 
-// way is one way of a call to the store.
+// storeCall is a call to the store on one path.
 type way[T any] func(context.Context) (T, error)
 
-// outcome is what came of one way.
+// callResult is the result of a call on one path.
 type outcome[T any] struct {
 	v      T
 	err    error
 	direct bool
 }
 
-// both tries the direct way and then peers. A direct way that has failed is left
-// out only while a peer could serve: after an outage of the store for everybody,
-// the direct way is the first that works again. Where hedge is set, peers are tried
-// already when the direct way has taken that long, so that a call on a connection
-// that has gone silent does not wait for its deadline.
+// hedgedCall tries the direct path, then peers. It skips a direct path in backoff
+// only while a peer can relay: after a store outage that affects all hosts, the
+// direct path is the first to recover. If hedge is not zero, peers are also tried
+// once the direct call has taken that long, so that a call on a dead connection does
+// not have to wait for its deadline.
 func both[T any](ctx context.Context, s *relayStore, hedge time.Duration, direct way[T], relay func(context.Context, string) (T, error)) (v T, err error) {
 	if s.skipDirect() && len(s.host.storePeers(1)) > 0 {
-		none := fault.New(fault.Unavailable, fault.NotRun, "the store turns this host away")
+		none := fault.New(fault.Unavailable, fault.NotRun, "the store is not reachable from this host")
 		o := viaPeers(ctx, s, outcome[T]{err: none}, relay)
 		return o.v, o.err
 	}
@@ -138,15 +137,15 @@
 		}
 	}
 	if !first.direct && first.settled() {
-		s.fail("a peer's call was answered first")
+		s.fail("the call relayed by a peer was answered first")
 	}
 	return first.v, first.err
 }
 
-// settled reports whether the store has answered, so that no other way is needed.
+// final reports whether the store has answered, so that no other path is needed.
 func (o outcome[T]) settled() bool { return o.err == nil || answered(o.err) }
 
-// await waits for an outcome, for at most d if that is set.
+// awaitResult waits for a result, for at most d if d is not zero.
 func await[T any](done <-chan outcome[T], d time.Duration) (o outcome[T], ok bool) {
 	if d == 0 {
 		return <-done, true
@@ -161,8 +160,8 @@
 	}
 }
 
-// viaPeers tries peers after a way that has failed. An outcome that is unknown is
-// kept.
+// viaPeers tries peers after a failed call. If all of them fail too, it returns the
+// last error with outcome Unknown, or the failed result if there is none.
 func viaPeers[T any](ctx context.Context, s *relayStore, failed outcome[T], relay func(context.Context, string) (T, error)) outcome[T] {
 	for _, addr := range s.host.storePeers(relays) {
 		rctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), relayTimeout)
@@ -178,6 +177,7 @@
 	return failed
 }
 
+// relayTimeout is the timeout of a call through one peer.
 const relayTimeout = 700 * time.Millisecond
 
 // Append adds records; see ports.Store.
@@ -218,6 +218,7 @@
 		})
 }
 
+// toError returns err, or the store error that the answer holds.
 func (a readAnswer) err(err error) error {
 	switch {
 	case err != nil:
@@ -230,7 +231,7 @@
 	return nil
 }
 
-// serveAppend carries a peer's append to the store.
+// serveAppend relays a peer's append to the store.
 func (h *Host) serveAppend(ctx context.Context, r ports.AppendRequest) (a appendAnswer, err error) {
 	offset, err := h.store.direct.Append(ctx, r)
 	h.store.note(ctx, err)
@@ -241,19 +242,21 @@
 	return appendAnswer{Offset: offset}, err
 }
 
-// serveRead carries a peer's read to the store.
+// serveRead relays a peer's read to the store.
 func (h *Host) serveRead(ctx context.Context, r ports.ReadRequest) (readAnswer, error) {
 	p, err := h.store.direct.Read(ctx, r)
 	h.store.note(ctx, err)
 	return toReadAnswer(p, "", err)
 }
 
+// serveNewest relays a peer's read of the newest records to the store.
 func (h *Host) serveNewest(ctx context.Context, m newestMsg) (readAnswer, error) {
 	n, err := h.store.direct.Newest(ctx, m.Topic, m.After)
 	h.store.note(ctx, err)
 	return toReadAnswer(ports.Page{Records: n.Records, End: n.End}, n.More, err)
 }
 
+// toReadAnswer encodes the result of a read for a peer.
 func toReadAnswer(p ports.Page, more string, err error) (readAnswer, error) {
 	var gone *ports.GoneError
 	var refused *ports.RefusedError
--- a/internal/node/gate/relay_test.go
+++ b/internal/node/gate/relay_test.go
@@ -13,8 +13,8 @@
 	"lagooncourse/internal/base/fault"
 )
 
-// TestSilentStore was seen on fwl-numbering-grown, trouble-1: a store that was
-// silent for the owner alone held up every second append for 700 ms.
+// TestSilentStore checks that calls are relayed when the store does not answer this
+// host alone. Such a store delayed every second append of the owner by 700 ms.
 func TestSilentStore(t *testing.T) {
 	c := clock.NewManual(time.Unix(1000, 0))
 	h := &Host{clock: c, log: logr.Discard(), peers: map[string]*peer{"b": {addr: "b", heard: c.Now(), storeOK: true}}}
@@ -35,20 +35,20 @@
 		assert.Equal(t, v, 7)
 		return time.Since(began)
 	}
-	assert.Assert(t, call() < 350*time.Millisecond, "half the time-out")
+	assert.Assert(t, call() < 350*time.Millisecond, "half of the timeout")
 	assert.Equal(t, directs.Load(), int32(1))
 	call()
-	assert.Equal(t, directs.Load(), int32(1), "the direct way rests")
+	assert.Equal(t, directs.Load(), int32(1), "the direct path is in backoff")
 	for range 6 {
 		c.Advance(retryDirect)
 		h.peers["b"].heard = c.Now()
 		call()
 	}
-	assert.Equal(t, directs.Load(), int32(3), "it rests longer after each failure")
+	assert.Equal(t, directs.Load(), int32(3), "the backoff grows with each failure")
 }
 
-// TestOutageEnds was seen on both grown sites, trouble-3: after the store had been
-// down for everybody, hosts left the direct way alone for up to 3.2 s more.
+// TestOutageEnds checks that the direct path is used again as soon as an outage that
+// affected all hosts ends. Hosts skipped it for up to 3.2 s more.
 func TestOutageEnds(t *testing.T) {
 	c := clock.NewManual(time.Unix(1000, 0))
 	h := &Host{clock: c, log: logr.Discard(), peers: map[string]*peer{"b": {addr: "b", heard: c.Now()}}}
@@ -74,7 +74,8 @@
 	assert.Equal(t, v, 7)
 }
 
-// TestSlowStore lets the direct way win where the store is slow for everybody.
+// TestSlowStore checks that the direct call's result is used when the store is
+// equally slow for all hosts.
 func TestSlowStore(t *testing.T) {
 	c := clock.NewManual(time.Unix(1000, 0))
 	h := &Host{clock: c, log: logr.Discard(), peers: map[string]*peer{"b": {addr: "b", heard: c.Now(), storeOK: true}}}
