--- a/internal/node/gate/cluster_test.go
+++ b/internal/node/gate/cluster_test.go
@@ -25,7 +25,7 @@
 	"lagooncourse/internal/plat/ports"
 )
 
-// cluster is some hosts in one process around a store and a farm of workers.
+// cluster runs entry hosts in one process with a fake store and fake workers.
 type cluster struct {
 	t     *testing.T
 	store *fakes.Store
@@ -36,7 +36,7 @@
 	begun time.Time
 }
 
-// testCodec has bodies of its own, as another platform might.
+// testCodec uses a request format that differs from the users' platform.
 var testCodec = Codec{
 	Job: func(id string, body []byte) (s sched.Spec, err error) {
 		if err := json.Unmarshal(body, &s); err != nil {
@@ -57,7 +57,7 @@
 	Pending:  func(n int) ([]byte, error) { return []byte(strconv.Itoa(n)), nil },
 }
 
-// workerPorts lets hosts reach the farm in real time.
+// workerPorts connects hosts to the fake workers in real time.
 type workerPorts struct {
 	farm  *fakes.Farm
 	begun time.Time
@@ -80,7 +80,7 @@
 	return w.farm.HoldAt(r, w.nowMs())
 }
 
-// adviser allows every worker.
+// adviser is an advice service that allows every worker.
 type adviser struct {
 	mu    sync.Mutex
 	asked int
@@ -97,6 +97,7 @@
 	return ports.Advice{Tickets: t}, nil
 }
 
+// newCluster starts a cluster of n hosts.
 func newCluster(t *testing.T, n int) *cluster {
 	c := &cluster{
 		t: t, store: fakes.NewStore(1), stop: make(chan struct{}), begun: time.Now(),
@@ -132,6 +133,7 @@
 	return c
 }
 
+// freePort returns a free TCP port.
 func freePort(t *testing.T) int {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -139,7 +141,7 @@
 	return ln.Addr().(*net.TCPAddr).Port
 }
 
-// start starts host i anew.
+// start starts or restarts host i.
 func (c *cluster) start(i int) {
 	h, err := Start(Config{
 		Host: fmt.Sprintf("h%d", i), IP: "127.0.0.1", Az: "x", Listen: "127.0.0.1:0", Ready: "127.0.0.1:0", ReadyPath: "/up",
@@ -162,7 +164,7 @@
 	c.hosts[i] = h
 }
 
-// owner returns the index of the host that owns the jobs, -1 if none does.
+// owner returns the index of the owner, or -1 if there is none.
 func (c *cluster) owner() int {
 	for i, h := range c.hosts {
 		if h == nil {
@@ -178,6 +180,7 @@
 	return -1
 }
 
+// awaitOwner waits for an owner and returns its index.
 func (c *cluster) awaitOwner() int {
 	c.t.Helper()
 	polls.Until(c.t, 10*time.Second, "an owner", func() bool { return c.owner() >= 0 })
@@ -200,7 +203,7 @@
 	return resp.StatusCode, string(data)
 }
 
-// submit hands a job in at host i and returns the status.
+// submit submits a job to host i and returns the HTTP status.
 func (c *cluster) submit(i int, id string, ms int64) int {
 	spec := sched.Spec{ID: id, Queue: "q", Team: "t", Steps: []sched.Step{{Count: 2, Size: jobs.Size{CPU: 500}, EstimateMs: ms}}}
 	c.farm.Know(spec)
@@ -210,7 +213,7 @@
 	return status
 }
 
-// awaitState waits until host i shows the job in a state.
+// awaitState waits until host i reports the job in the state want.
 func (c *cluster) awaitState(i int, id, want string, within time.Duration) {
 	c.t.Helper()
 	polls.Until(c.t, within, "job "+id+" "+want, func() bool {
@@ -219,11 +222,13 @@
 	})
 }
 
+// check fails the test if the workers have detected a violated invariant.
 func (c *cluster) check() {
 	c.t.Helper()
 	assert.DeepEqual(c.t, c.farm.Broken(), []string(nil))
 }
 
+// awaitReady waits until all hosts are ready.
 func (c *cluster) awaitReady() {
 	c.t.Helper()
 	c.awaitOwner()
@@ -243,7 +248,7 @@
 	for i := range 3 {
 		id := fmt.Sprintf("j%d", i)
 		assert.Equal(t, c.submit(i, id, 100), 200)
-		assert.Equal(t, c.submit((i+1)%3, id, 100), 200, "a repeat is the same job")
+		assert.Equal(t, c.submit((i+1)%3, id, 100), 200, "a repeated submission is accepted as the same job")
 		c.awaitState((i+2)%3, id, "completed", 5*time.Second)
 	}
 	assert.Equal(t, c.farm.Starts(), 6)
@@ -273,8 +278,8 @@
 	assert.Equal(t, c.farm.Starts(), 0)
 }
 
-// TestTakeover kills the owner while jobs run: they end once, and a new host
-// answers for them.
+// TestTakeover kills the owner while jobs run. The jobs complete without a second
+// run, and the new owner reports their states.
 func TestTakeover(t *testing.T) {
 	c := newCluster(t, 3)
 	c.awaitReady()
@@ -285,23 +290,24 @@
 	c.hosts[old].Kill()
 	c.hosts[old] = nil
 	killed := time.Now()
-	polls.Until(t, 5*time.Second, "a successor", func() bool { return c.owner() >= 0 })
+	polls.Until(t, 5*time.Second, "a new owner", func() bool { return c.owner() >= 0 })
 	t.Logf("takeover after %v", time.Since(killed))
 	for i := range 10 {
 		c.awaitState((old+1)%3, fmt.Sprintf("k%d", i), "completed", 10*time.Second)
 	}
-	assert.Equal(t, c.farm.Starts(), 20, "nothing ran again")
+	assert.Equal(t, c.farm.Starts(), 20, "no task ran twice")
 	c.check()
 }
 
-// TestAllRestart kills every host: accepted jobs survive in the store.
+// TestAllRestart kills and restarts all hosts. The accepted jobs complete from the
+// stored records.
 func TestAllRestart(t *testing.T) {
 	c := newCluster(t, 3)
 	c.awaitReady()
 	for i := range 6 {
 		assert.Equal(t, c.submit(i%3, fmt.Sprintf("r%d", i), 300), 200)
 	}
-	c.store.Forget("jobs") // only the newest record of each key remains
+	c.store.Forget("jobs") // keeps only the newest record of each key
 	for i, h := range c.hosts {
 		h.Kill()
 		c.start(i)
@@ -313,7 +319,8 @@
 	c.check()
 }
 
-// TestStoreTurnsOwnerAway has the owner write through its peers.
+// TestStoreTurnsOwnerAway checks that the owner keeps ownership and writes through
+// its peers when the store refuses it or does not answer it.
 func TestStoreTurnsOwnerAway(t *testing.T) {
 	for _, silent := range []bool{false, true} {
 		t.Run(fmt.Sprint("silent=", silent), func(t *testing.T) {
@@ -325,13 +332,14 @@
 				assert.Equal(t, c.submit(i%3, fmt.Sprintf("a%d", i), 50), 200)
 			}
 			c.awaitState(old, "a3", "completed", 8*time.Second)
-			assert.Equal(t, c.owner(), old, "the owner keeps the jobs")
+			assert.Equal(t, c.owner(), old, "the owner keeps ownership")
 			c.check()
 		})
 	}
 }
 
-// TestStoreDown refuses truthfully while the store is away, and goes on after.
+// TestStoreDown checks that submissions fail during a store outage, that jobs
+// rejected as not run do not exist afterwards, and that accepted jobs complete.
 func TestStoreDown(t *testing.T) {
 	c := newCluster(t, 3)
 	c.awaitReady()
@@ -347,18 +355,18 @@
 			t.Errorf("%s accepted while nothing can be stored", id)
 		}
 	}
-	assert.Assert(t, len(refused) > 0, "submissions are refused at once when the outage is known")
+	assert.Assert(t, len(refused) > 0, "submissions are rejected immediately once the outage is detected")
 	c.store.SetFaults(fakes.StoreFaults{})
 	c.awaitState(1, "d0", "completed", 10*time.Second)
 	time.Sleep(500 * time.Millisecond)
 	for _, id := range refused {
 		status, body := c.call(1, "GET", "/q/"+id, "")
-		assert.Equal(t, status, 410, "%s was refused as not run: %s", id, body)
+		assert.Equal(t, status, 410, "%s was rejected as not run: %s", id, body)
 	}
 	c.check()
 }
 
-// TestLostAnswers repeats appends without storing anything twice.
+// TestLostAnswers checks that retried appends do not store or start anything twice.
 func TestLostAnswers(t *testing.T) {
 	c := newCluster(t, 2)
 	c.awaitReady()
@@ -374,7 +382,8 @@
 	c.check()
 }
 
-// TestGracefulStop hands the jobs over and refuses nothing.
+// TestGracefulStop checks that stopping the owner hands ownership over and rejects
+// no submission.
 func TestGracefulStop(t *testing.T) {
 	c := newCluster(t, 3)
 	c.awaitReady()
@@ -398,23 +407,24 @@
 	c.check()
 }
 
-// TestZoneOut starts nothing in a zone that operators have taken out.
+// TestZoneOut checks that a zone taken out of service reaches the planner's
+// configuration, that jobs still run, and that the zone can be restored.
 func TestZoneOut(t *testing.T) {
 	c := newCluster(t, 2)
 	c.awaitReady()
 	c.store.Put("op", "out/x", []byte("{}"))
-	polls.Until(t, 3*time.Second, "all hosts know", func() bool {
+	polls.Until(t, 3*time.Second, "all hosts have the zone out of service", func() bool {
 		return c.hosts[0].site.view().Closed["x"] && c.hosts[1].site.view().Closed["x"]
 	})
 	assert.Equal(t, c.submit(0, "z0", 3000), 200)
 	c.awaitState(0, "z0", "running", 3*time.Second)
 	c.store.Put("op", "out/x", nil)
-	polls.Until(t, 3*time.Second, "the zone is back", func() bool { return !c.hosts[0].site.view().Closed["x"] })
+	polls.Until(t, 3*time.Second, "the zone is in service again", func() bool { return !c.hosts[0].site.view().Closed["x"] })
 	c.check()
 }
 
 // TestDoubtfulSubmission repeats a submission whose record may have reached the
-// store: it is not refused as not run, since it may run yet.
+// store. It must not be rejected as not run, since the job may still run.
 func TestDoubtfulSubmission(t *testing.T) {
 	c := newCluster(t, 1)
 	c.awaitReady()
@@ -423,7 +433,7 @@
 	for range 3 {
 		assert.Equal(t, c.submit(0, "x", 50), 504)
 	}
-	assert.Equal(t, c.submit(0, "y", 50), 503, "nothing of this one was sent")
+	assert.Equal(t, c.submit(0, "y", 50), 503, "the record of this submission was not sent")
 	c.store.SetFaults(fakes.StoreFaults{})
 	c.awaitState(0, "x", "completed", 8*time.Second)
 	status, _ := c.call(0, "GET", "/q/y", "")
--- a/internal/node/gate/site.go
+++ b/internal/node/gate/site.go
@@ -15,43 +15,43 @@
 )
 
 // siteState is the configuration and the availability zones out of service,
-// as the operators' topic says. It never goes back to an older version.
+// according to the operator topic. It never reverts to an older version.
 type siteState struct {
 	mu     sync.Mutex
-	newest map[string]ports.Record // by key
-	next   int64
+	newest map[string]ports.Record // newest record of each key
+	next   int64                   // offset up to which the topic has been read
 	site   ports.Site
-	closed map[string]bool
-	teams  map[string]string // key -> team
-	heard  time.Time         // when the topic was read last
+	closed map[string]bool   // availability zones out of service
+	teams  map[string]string // team of each API key
+	heard  time.Time         // last update from the store or a peer
 }
 
 func newSiteState() *siteState {
 	return &siteState{newest: map[string]ports.Record{}, closed: map[string]bool{}, teams: map[string]string{}}
 }
 
-// Timing of the operators' topic.
+// Timeouts and intervals of reading the operator topic.
 const (
-	sitePoll    = 2 * time.Second // how long a read waits for a record
+	sitePoll    = 2 * time.Second // long poll
 	siteTimeout = time.Second     // in addition to the wait
 	sitePause   = 200 * time.Millisecond
 )
 
-// ready reports whether a configuration is known.
+// ready reports whether a configuration has been read.
 func (s *siteState) ready() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.site.Version > 0
 }
 
-// offset returns the offset up to which the topic has been read.
+// offset returns the offset up to which the operator topic has been read.
 func (s *siteState) offset() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.next
 }
 
-// view returns what the planner has to know.
+// view returns the configuration for the planner.
 func (s *siteState) view() sched.View {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -68,7 +68,7 @@
 	return v
 }
 
-// route returns the queue of a call: the one with the longest prefix.
+// route returns the queue with the longest prefix that matches host and path.
 func (s *siteState) route(host, path string) (q sched.Queue, ok bool) {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
@@ -83,7 +83,7 @@
 	return q, ok
 }
 
-// team returns the client account to which a key belongs.
+// team returns the client account of an API key.
 func (s *siteState) team(key string) (string, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -91,13 +91,14 @@
 	return t, ok
 }
 
+// limits returns the configured limits.
 func (s *siteState) limits() ports.Limits {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.site.Limits
 }
 
-// siteLoop follows the operators' topic.
+// siteLoop reads the operator topic.
 func (h *Host) siteLoop(ctx context.Context) {
 	next := int64(-1)
 	for ctx.Err() == nil {
@@ -109,7 +110,8 @@
 	}
 }
 
-// readSite reads what is new from the offset on, or everything if it is negative.
+// readSite applies the records from the offset next on, or the newest of each key
+// if next is negative. It returns the next offset.
 func (h *Host) readSite(ctx context.Context, next int64) (int64, error) {
 	if next < 0 {
 		return h.readWholeSite(ctx)
@@ -138,7 +140,7 @@
 	return next, nil
 }
 
-// readWholeSite reads the newest record of each key.
+// readWholeSite applies the newest record of each key and drops all other keys.
 func (h *Host) readWholeSite(ctx context.Context) (int64, error) {
 	rctx, cancel := context.WithTimeout(ctx, siteTimeout)
 	defer cancel()
@@ -151,7 +153,7 @@
 	return end, nil
 }
 
-// replace forgets the keys that a full reading does not have any more.
+// dropMissing drops the keys that are not in all, the newest record of each key.
 func (s *siteState) replace(all []ports.Record, end int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -169,7 +171,7 @@
 	}
 }
 
-// takeSite takes records of the operators' topic, from the store or a peer.
+// applySite applies records of the operator topic, read from the store or a peer.
 func (h *Host) takeSite(records []ports.Record, end int64) {
 	s := h.site
 	s.mu.Lock()
@@ -198,7 +200,7 @@
 	}
 }
 
-// takeOperator takes one record. The caller holds the lock of s.
+// applyOperator applies one record. The caller holds s.mu.
 func (h *Host) takeOperator(s *siteState, r ports.Record) {
 	o := h.cfg.ParseOperator(r.Key)
 	switch {
@@ -207,7 +209,7 @@
 	case o.Config && len(r.Value) > 0:
 		site, err := h.cfg.ParseSite(r.Value)
 		if err != nil {
-			h.log.Error(err, "configuration ignored", "offset", r.Offset)
+			h.log.Error(err, "ignoring invalid configuration", "offset", r.Offset)
 			return
 		}
 		if site.Version <= s.site.Version {
@@ -224,7 +226,7 @@
 	}
 }
 
-// serveSite answers a peer whose configuration is older.
+// serveSite returns the operator records if the peer's are older.
 func (h *Host) serveSite(_ context.Context, m siteMsg) (siteAnswer, error) {
 	s := h.site
 	s.mu.Lock()
@@ -239,7 +241,7 @@
 	return a, nil
 }
 
-// catchUp takes the configuration of a peer that has a newer one.
+// fetchSite fetches the operator records from a peer that has newer ones.
 func (h *Host) catchUp(ctx context.Context, addr string) {
 	ctx, cancel := context.WithTimeout(ctx, pingTimeout)
 	defer cancel()
--- a/internal/node/gate/wire.go
+++ b/internal/node/gate/wire.go
@@ -6,7 +6,7 @@
 	"lagooncourse/internal/plat/ports"
 )
 
-// The methods between entry hosts.
+// RPC methods between entry hosts.
 var (
 	pingMethod   = frame.Method[ping, ping]{ID: 40, Name: "ping"}
 	callMethod   = frame.Method[callMsg, callAnswer]{ID: 41, Name: "call"}
@@ -17,23 +17,24 @@
 	siteMethod   = frame.Method[siteMsg, siteAnswer]{ID: 46, Name: "site"}
 )
 
-// ping is a heartbeat and its answer: what the sender believes.
+// ping is the request and the response of a heartbeat: the state of its sender.
 type ping struct {
-	Addr       string // of the sender, for frames
+	Addr       string // of the sender, for calls from other entry hosts
 	Az         string
-	Leaving    bool
-	Epoch      int64  // highest ownership that the sender knows
-	Owner      string // address of its holder; empty if unknown
-	OwnerAgeMs int64  // since the owner answered the sender; 0 if it is the owner
-	SiteNext   int64  // offset of the operators' topic up to which the sender has read
-	StoreOK    bool   // the store has answered the sender lately
-	Claim      bool   // asks the receiver to take over at once
+	Leaving    bool   // the sender is shutting down
+	Epoch      int64  // highest epoch known to the sender
+	Owner      string // address of the owner in Epoch; empty if unknown
+	OwnerAgeMs int64  // since the sender's last contact with the owner; 0 if it is the owner
+	SiteNext   int64  // offset of the operator topic up to which the sender has read
+	StoreOK    bool   // the sender's last direct store call succeeded
+	Claim      bool   // asks the receiver to claim ownership immediately
 	Power      int64  // millicores of the sender
 }
 
-// callKind is what a forwarded call wants.
+// callKind is the operation of a forwarded call.
 type callKind uint8
 
+// Operations of forwarded calls.
 const (
 	callSubmit callKind = iota
 	callStatus
@@ -41,54 +42,61 @@
 	callPending
 )
 
-// callMsg is a caller's request, checked and forwarded to the owner.
+// callMsg is a validated client request for the owner.
 type callMsg struct {
 	Kind     callKind
 	Spec     sched.Spec // for callSubmit
 	ID       string
 	Queue    string
-	SiteNext int64 // configuration by which the sender has decided
+	SiteNext int64 // operator topic offset of the configuration used for validation
 }
 
+// callAnswer is the result of a call.
 type callAnswer struct {
-	Status  sched.Status
-	Pending int
+	Status  sched.Status // for callStatus
+	Pending int          // for callPending
 }
 
+// adviseMsg is an advice request.
 type adviseMsg struct {
 	Step    string
 	Workers []string
 }
 
+// adviseAnswer is the result of an advice request.
 type adviseAnswer struct {
 	Advice ports.Advice
 	AgeMs  int64 // since the service answered
 }
 
-// appendAnswer is the outcome of a relayed append.
+// appendAnswer is the result of a relayed append.
 type appendAnswer struct {
 	Offset int64
 	Reason ports.Refusal // set if the store refused
 	Status int
 }
 
-// readAnswer is the outcome of a relayed read.
+// readAnswer is the result of a relayed read.
 type readAnswer struct {
 	Page   ports.Page
-	More   string
-	Gone   bool
-	Reason ports.Refusal
+	More   string        // key to continue with; empty on the last page
+	Gone   bool          // the requested records have expired
+	Reason ports.Refusal // set if the store refused
 	Status int
 }
 
+// newestMsg requests the newest record of each key after the key After.
 type newestMsg struct {
 	Topic string
 	After string
 }
 
-// siteMsg asks for the operators' records if the sender's are older.
+// siteMsg requests the operator records if the receiver has read beyond offset
+// Next.
 type siteMsg struct{ Next int64 }
 
+// siteAnswer holds the offset up to which the sender has read the operator topic,
+// and its records if they were requested.
 type siteAnswer struct {
 	Next    int64
 	Records []ports.Record // the newest of each key
