--- a/internal/node/gate/claim.go
+++ b/internal/node/gate/claim.go
@@ -17,21 +17,21 @@
 // replica is a host's copy of the job records. The owner passes its copy to the
 // planner and starts with an empty one when its ownership ends.
 type replica struct {
-	state *sched.State
-	grew  time.Time // when the topic was last found to have grown
-	busy  bool      // in use by a sync or a claim
+	state      *sched.State
+	lastGrowth time.Time // when the topic was last found to have grown
+	inUse      bool      // in use by a sync or a claim
 }
 
 func newReplica() *replica { return &replica{state: sched.NewState()} }
 
 // Intervals, timeouts and limits of replicas and claims.
 const (
-	replicaEvery   = 500 * time.Millisecond
-	replicaTimeout = 1500 * time.Millisecond
-	newestTimeout  = 5 * time.Second // for up to about 20 pages of 500 keys
-	claimEvery     = 50 * time.Millisecond
-	claimTries     = 6
-	claimPause     = 50 * time.Millisecond
+	replicaSyncInterval = 500 * time.Millisecond
+	replicaTimeout      = 1500 * time.Millisecond
+	newestTimeout       = 5 * time.Second // for up to about 20 pages of 500 keys
+	claimCheckInterval  = 50 * time.Millisecond
+	claimTries          = 6
+	claimRetryPause     = 50 * time.Millisecond
 )
 
 // epochRandomBits is the size of the random low part of an epoch. The random part
@@ -45,19 +45,19 @@
 
 // replicaLoop keeps the replica up to date if this host is a standby.
 func (h *Host) replicaLoop(ctx context.Context) {
-	begun := h.clock.Now()
+	startedAt := h.clock.Now()
 	select {
 	case <-ctx.Done():
-	case <-h.rostered:
-	case <-time.After(firstPings):
+	case <-h.hostsRead:
+	case <-time.After(startupPingWait):
 	}
 	for ctx.Err() == nil {
-		if h.followsRecords(h.clock.Now().Sub(begun) < firstPings) {
-			if err := h.follow(ctx); err != nil {
+		if h.shouldSync(h.clock.Now().Sub(startedAt) < startupPingWait) {
+			if err := h.syncReplica(ctx); err != nil {
 				h.log.V(1).Info("failed to read job records", "err", err.Error())
 			}
 		}
-		clock.Sleep(ctx, replicaEvery)
+		clock.Sleep(ctx, replicaSyncInterval)
 	}
 }
 
@@ -65,36 +65,36 @@
 // power loss of all hosts, the restarted ones (fresh is set) select the standbys
 // from the registered hosts: if all hosts read all records at once, the store
 // takes seconds to serve them.
-func (h *Host) followsRecords(fresh bool) bool {
+func (h *Host) shouldSync(fresh bool) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.lead != nil || h.replica.busy {
+	if h.localOwner != nil || h.replica.inUse {
 		return false
 	}
-	return inLine(peer{addr: h.addr, power: h.cfg.Power}, h.own.addr, h.peerList(), fresh, h.clock.Now())
+	return isStandby(peer{addr: h.addr, power: h.cfg.Power}, h.owner.addr, h.peerList(), fresh, h.clock.Now())
 }
 
 // syncReplica brings the replica up to date. It fails if the replica is in use or
 // this host is the owner.
-func (h *Host) follow(ctx context.Context) (err error) {
+func (h *Host) syncReplica(ctx context.Context) (err error) {
 	h.mu.Lock()
 	r := h.replica
-	if r.busy || h.lead != nil {
+	if r.inUse || h.localOwner != nil {
 		h.mu.Unlock()
 		return fault.New(fault.Conflict, fault.NotRun, "the replica is in use")
 	}
-	r.busy = true
+	r.inUse = true
 	h.mu.Unlock()
 	before := r.state.Next
-	err = h.read(ctx, r, -1)
+	err = h.readRecords(ctx, r, -1)
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	r.busy = false
+	r.inUse = false
 	if r.state.Next > before {
-		r.grew = h.clock.Now()
+		r.lastGrowth = h.clock.Now()
 	}
-	if c := r.state.Claim; c.Epoch > h.own.epoch {
-		h.setOwner(c.Epoch, c.Addr, h.presumed())
+	if c := r.state.Claim; c.Epoch > h.owner.epoch {
+		h.setOwner(c.Epoch, c.Addr, h.assumedContact())
 		go h.ping(context.WithoutCancel(ctx), c.Addr)
 	}
 	return err
@@ -102,23 +102,23 @@
 
 // ownerProbeTimeout is how long a process that has not been in contact with any
 // owner waits for the owner named in the records: several round trips.
-const ownerProbe = 150 * time.Millisecond
+const ownerProbeTimeout = 150 * time.Millisecond
 
 // assumedContact returns the assumed time of the last contact with an owner that
 // is known only from the records. After a power loss of all hosts that owner is
 // gone, so a process that has not been in contact with any owner suspects it after
 // ownerProbeTimeout. The caller holds h.mu.
-func (h *Host) presumed() time.Time {
+func (h *Host) assumedContact() time.Time {
 	now := h.clock.Now()
-	if h.met {
+	if h.ownerContacted {
 		return now
 	}
-	return now.Add(ownerProbe - suspectAfter)
+	return now.Add(ownerProbeTimeout - suspectAfter)
 }
 
 // readRecords applies records up to the offset to, or up to the end of the topic
 // if to is negative.
-func (h *Host) read(ctx context.Context, r *replica, to int64) error {
+func (h *Host) readRecords(ctx context.Context, r *replica, to int64) error {
 	if r.state.Next == 0 {
 		if err := h.readNewest(ctx, r); err != nil {
 			return err
@@ -145,7 +145,7 @@
 			continue
 		}
 		for _, rec := range page.Records {
-			h.apply(r.state, rec)
+			h.applyRecord(r.state, rec)
 			r.state.Next = rec.Offset + 1
 		}
 		if len(page.Records) == 0 || r.state.Next >= page.End || to >= 0 && r.state.Next > to {
@@ -164,7 +164,7 @@
 	}
 	s := sched.NewState()
 	for _, rec := range all {
-		h.apply(s, rec)
+		h.applyRecord(s, rec)
 	}
 	s.Next = end
 	r.state = s
@@ -172,7 +172,7 @@
 }
 
 // applyRecord applies a record to s. It logs and skips an invalid one.
-func (h *Host) apply(s *sched.State, rec ports.Record) {
+func (h *Host) applyRecord(s *sched.State, rec ports.Record) {
 	if err := s.Apply(rec.Key, rec.Value); err != nil {
 		h.log.Error(err, "ignoring invalid job record", "offset", rec.Offset)
 	}
@@ -181,13 +181,13 @@
 // claimLoop claims ownership when there is no live owner, and hands ownership over
 // to a much more powerful host.
 func (h *Host) claimLoop(ctx context.Context) {
-	clock.Sleep(ctx, firstPings)
+	clock.Sleep(ctx, startupPingWait)
 	for ctx.Err() == nil {
 		if h.mayClaim() {
 			h.tryClaim(ctx)
 		}
-		h.yield(ctx)
-		clock.Sleep(ctx, claimEvery)
+		h.handOverToStronger(ctx)
+		clock.Sleep(ctx, claimCheckInterval)
 	}
 }
 
@@ -195,86 +195,86 @@
 func (h *Host) mayClaim() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.lead != nil || h.leaving {
+	if h.localOwner != nil || h.leaving {
 		return false
 	}
 	now := h.clock.Now()
-	c := contest{
-		self: h.addr, power: h.cfg.Power, now: now, silent: now.Sub(h.own.heard), invited: h.invited,
-		grows: now.Sub(h.replica.grew) < 2*replicaEvery+claimStagger,
+	c := election{
+		self: h.addr, power: h.cfg.Power, now: now, ownerSilence: now.Sub(h.owner.lastContact), claimRequested: h.claimRequested,
+		topicGrows: now.Sub(h.replica.lastGrowth) < 2*replicaSyncInterval+claimStagger,
 	}
-	if h.own.addr == "" || h.own.addr == h.addr {
-		c.silent += suspectAfter - firstPings // no owner is known, so none has to time out
+	if h.owner.addr == "" || h.owner.addr == h.addr {
+		c.ownerSilence += suspectAfter - startupPingWait // no owner is known, so none has to time out
 	}
 	for _, p := range h.peerList() {
-		if !p.heard.IsZero() {
+		if !p.lastContact.IsZero() {
 			c.peers = append(c.peers, p)
 		}
 	}
-	h.invited = false
+	h.claimRequested = false
 	return c.shouldClaim()
 }
 
 // handOverAfter is the minimum time of ownership before a handover to a more
 // powerful host. It lets hosts that start together find each other first.
-const yieldAfter = 1500 * time.Millisecond
+const handOverAfter = 1500 * time.Millisecond
 
 // handOverToStronger hands ownership over to a much more powerful host, if any.
-func (h *Host) yield(ctx context.Context) {
+func (h *Host) handOverToStronger(ctx context.Context) {
 	h.mu.Lock()
 	now := h.clock.Now()
-	if h.lead == nil || h.leaving || now.Sub(h.since) < yieldAfter {
+	if h.localOwner == nil || h.leaving || now.Sub(h.ownerSince) < handOverAfter {
 		h.mu.Unlock()
 		return
 	}
 	peers := h.peerList()
 	h.mu.Unlock()
-	if addr, ok := successor(h.cfg.Power, peers, now); ok {
-		h.transfer(ctx, []string{addr}, "handing over to a more powerful host")
+	if addr, ok := strongerPeer(h.cfg.Power, peers, now); ok {
+		h.transferOwnership(ctx, []string{addr}, "handing over to a more powerful host")
 	}
 }
 
 // tryClaim brings the replica up to date, appends a claim and, if the claim holds,
 // starts the owner.
 func (h *Host) tryClaim(ctx context.Context) {
-	began := h.clock.Now()
+	startedAt := h.clock.Now()
 	h.mu.Lock()
-	known := h.own
+	known := h.owner
 	h.mu.Unlock()
-	if err := h.follow(ctx); err != nil {
+	if err := h.syncReplica(ctx); err != nil {
 		h.log.V(1).Info("no claim, failed to sync the replica", "err", err.Error())
 		return
 	}
 	h.mu.Lock()
-	if h.own.epoch != known.epoch && h.own.addr != h.addr || h.replica.busy {
+	if h.owner.epoch != known.epoch && h.owner.addr != h.addr || h.replica.inUse {
 		h.mu.Unlock() // the records hold a claim of another host
 		return
 	}
 	r := h.replica
-	r.busy = true
+	r.inUse = true
 	h.mu.Unlock()
 	c := sched.Claim{Epoch: nextEpoch(max(r.state.Claim.Epoch, known.epoch)), Host: h.cfg.Host, Addr: h.addr}
-	offset, err := h.claim(ctx, c)
+	offset, err := h.appendClaim(ctx, c)
 	if err == nil {
-		err = h.read(ctx, r, offset)
+		err = h.readRecords(ctx, r, offset)
 	}
 	if err == nil && r.state.Claim.Epoch > c.Epoch {
 		err = fault.New(fault.Conflict, fault.NotRun, "host %q has claimed epoch %d", r.state.Claim.Host, r.state.Claim.Epoch)
 	}
-	h.log.Info("claim", "epoch", c.Epoch, "offset", offset, "silentMs", began.Sub(known.heard).Milliseconds(),
-		"tookMs", h.clock.Now().Sub(began).Milliseconds(), "ok", err == nil)
+	h.log.Info("claim", "epoch", c.Epoch, "offset", offset, "silentMs", startedAt.Sub(known.lastContact).Milliseconds(),
+		"tookMs", h.clock.Now().Sub(startedAt).Milliseconds(), "ok", err == nil)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if err != nil || h.leaving {
 		h.replica = newReplica()
 		return
 	}
-	h.become(c, r.state)
+	h.startOwner(c, r.state)
 }
 
 // appendClaim appends the claim record and retries until the outcome is known or
 // claimTries is reached.
-func (h *Host) claim(ctx context.Context, c sched.Claim) (offset int64, err error) {
+func (h *Host) appendClaim(ctx context.Context, c sched.Claim) (offset int64, err error) {
 	key, value, err := sched.ClaimRecord(c)
 	if err != nil {
 		return 0, err
@@ -284,34 +284,34 @@
 		actx, cancel := context.WithTimeout(ctx, replicaTimeout)
 		offset, err = h.store.Append(actx, req)
 		cancel()
-		if err == nil || answered(err) {
+		if err == nil || definitive(err) {
 			return offset, err
 		}
-		clock.Sleep(ctx, claimPause)
+		clock.Sleep(ctx, claimRetryPause)
 	}
 	return offset, err
 }
 
 // startOwner starts the owner. The caller holds h.mu.
-func (h *Host) become(c sched.Claim, s *sched.State) {
-	l := lead.Start(lead.Config{
-		Claim: c, Topic: h.cfg.JobTopic, State: s, Store: h.store, Workers: h.cfg.Workers, Advisers: h.desks,
-		Registry: h.cfg.WorkerTopic, Parse: h.cfg.ParseWorker, WorkerID: h.cfg.WorkerID, View: h.site.view(),
-		Clock: h.clock, Logger: h.cfg.Logger, Metrics: h.leadMet, KeepMs: h.cfg.KeepMs, LeaseMax: h.cfg.LeaseMax,
+func (h *Host) startOwner(c sched.Claim, s *sched.State) {
+	o := lead.Start(lead.Config{
+		Claim: c, JobTopic: h.cfg.JobTopic, State: s, Store: h.store, Workers: h.cfg.Workers, AdviceClient: h.adviceHosts,
+		WorkerTopic: h.cfg.WorkerTopic, ParseWorker: h.cfg.ParseWorker, WorkerID: h.cfg.WorkerID, View: h.site.view(),
+		Clock: h.clock, Logger: h.cfg.Logger, Metrics: h.leadMetrics, KeepMs: h.cfg.KeepMs, LeaseMax: h.cfg.LeaseMax,
 	})
-	h.lead = l
-	h.since = h.clock.Now()
-	h.setOwner(c.Epoch, h.addr, h.since)
-	h.met = true
+	h.localOwner = o
+	h.ownerSince = h.clock.Now()
+	h.setOwner(c.Epoch, h.addr, h.ownerSince)
+	h.ownerContacted = true
 	go h.announce()
 	go func() {
-		<-l.Done()
+		<-o.Done()
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		if h.lead == l {
-			h.lead = nil
+		if h.localOwner == o {
+			h.localOwner = nil
 			h.replica = newReplica()
-			h.own.heard = h.clock.Now() // gives the new owner time to make contact
+			h.owner.lastContact = h.clock.Now() // gives the new owner time to make contact
 			h.ownerChanged()
 		}
 	}()
@@ -331,31 +331,31 @@
 }
 
 // leaveAndHandOver deletes this host's registration and hands ownership over.
-func (h *Host) handOver(ctx context.Context) {
-	_ = h.register(ctx, nil) // on failure, peers detect the stop by missing heartbeats
-	h.transfer(ctx, h.heirs(), "the process is shutting down")
+func (h *Host) leaveAndHandOver(ctx context.Context) {
+	_ = h.writeHostEntry(ctx, nil) // on failure, peers detect the stop by missing heartbeats
+	h.transferOwnership(ctx, h.handoverCandidates(), "the process is shutting down")
 }
 
 // handoverCandidates returns the peers that can take ownership over, the most
 // powerful first.
-func (h *Host) heirs() []string {
+func (h *Host) handoverCandidates() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return heirs(h.peerList(), h.clock.Now())
+	return handoverCandidates(h.peerList(), h.clock.Now())
 }
 
 // transferOwnership stops the owner on this host and asks the hosts in order to
 // claim ownership, until one answers.
-func (h *Host) transfer(ctx context.Context, addrs []string, reason string) {
+func (h *Host) transferOwnership(ctx context.Context, addrs []string, reason string) {
 	h.mu.Lock()
-	l := h.lead
+	o := h.localOwner
 	h.mu.Unlock()
-	if l == nil {
+	if o == nil {
 		return
 	}
-	l.Stop(reason)
+	o.Stop(reason)
 	select {
-	case <-l.Done():
+	case <-o.Done():
 	case <-ctx.Done():
 		return
 	}
--- a/internal/node/gate/cluster_test.go
+++ b/internal/node/gate/cluster_test.go
@@ -27,13 +27,13 @@
 
 // cluster runs entry hosts in one process with a fake store and fake workers.
 type cluster struct {
-	t     *testing.T
-	store *fakes.Store
-	farm  *fakes.Farm
-	hosts []*Host
-	ports []int
-	stop  chan struct{}
-	begun time.Time
+	t         *testing.T
+	store     *fakes.Store
+	farm      *fakes.Farm
+	hosts     []*Host
+	ports     []int
+	stop      chan struct{}
+	startedAt time.Time
 }
 
 // testCodec uses a request format that differs from the users' platform.
@@ -57,23 +57,23 @@
 	Pending:  func(n int) ([]byte, error) { return []byte(strconv.Itoa(n)), nil },
 }
 
-// workerPorts connects hosts to the fake workers in real time.
-type workerPorts struct {
-	farm  *fakes.Farm
-	begun time.Time
+// workerClient connects hosts to the fake workers in real time.
+type workerClient struct {
+	farm      *fakes.Farm
+	startedAt time.Time
 }
 
-func (w workerPorts) nowMs() int64 { return time.Since(w.begun).Milliseconds() + 1 }
+func (w workerClient) nowMs() int64 { return time.Since(w.startedAt).Milliseconds() + 1 }
 
-func (w workerPorts) Start(_ context.Context, o ports.StartOrder) (int64, error) {
+func (w workerClient) Start(_ context.Context, o ports.StartOrder) (int64, error) {
 	return w.farm.StartAt(o, w.nowMs())
 }
 
-func (w workerPorts) Stop(_ context.Context, o ports.StopOrder) error {
+func (w workerClient) Stop(_ context.Context, o ports.StopOrder) error {
 	return w.farm.StopAt(o, w.nowMs())
 }
 
-func (w workerPorts) Hold(ctx context.Context, r ports.HoldRequest) (ports.HoldAnswer, error) {
+func (w workerClient) Hold(ctx context.Context, r ports.HoldRequest) (ports.HoldAnswer, error) {
 	if r.Wait > 0 {
 		clock.Sleep(ctx, 20*time.Millisecond)
 	}
@@ -100,7 +100,7 @@
 // newCluster starts a cluster of n hosts.
 func newCluster(t *testing.T, n int) *cluster {
 	c := &cluster{
-		t: t, store: fakes.NewStore(1), stop: make(chan struct{}), begun: time.Now(),
+		t: t, store: fakes.NewStore(1), stop: make(chan struct{}), startedAt: time.Now(),
 		farm: fakes.NewFarm(fakes.FarmConfig{
 			Workers: 4, Capacity: jobs.Size{CPU: 8_000, Mem: 8_000}, Rack: 2, Azs: []string{"x", "y"}, Service: "s", Seed: 1,
 		}),
@@ -146,7 +146,7 @@
 	h, err := Start(Config{
 		Host: fmt.Sprintf("h%d", i), IP: "127.0.0.1", Az: "x", Listen: "127.0.0.1:0", Ready: "127.0.0.1:0", ReadyPath: "/up",
 		PeerPort: c.ports[i], Power: 400,
-		Store: c.store.For(fmt.Sprint(i)), Workers: workerPorts{c.farm, c.begun}, Adviser: &adviser{}, Codec: testCodec,
+		Store: c.store.For(fmt.Sprint(i)), Workers: workerClient{c.farm, c.startedAt}, Adviser: &adviser{}, Codec: testCodec,
 		OperatorTopic: "op", WorkerTopic: "workers", JobTopic: "jobs", HostTopic: "hosts",
 		ParseSite: func(b []byte) (s ports.Site, err error) { return s, json.Unmarshal(b, &s) },
 		ParseOperator: func(key string) ports.OperatorKey {
@@ -171,9 +171,9 @@
 			continue
 		}
 		h.mu.Lock()
-		leads := h.lead != nil
+		isOwner := h.localOwner != nil
 		h.mu.Unlock()
-		if leads {
+		if isOwner {
 			return i
 		}
 	}
@@ -189,7 +189,7 @@
 
 // call sends a request to host i and returns status and body.
 func (c *cluster) call(i int, method, path, body string) (int, string) {
-	r, err := http.NewRequest(method, "http://"+c.hosts[i].front.Addr()+path, strings.NewReader(body))
+	r, err := http.NewRequest(method, "http://"+c.hosts[i].apiServer.Addr()+path, strings.NewReader(body))
 	assert.NilError(c.t, err)
 	r.Host = "h.example"
 	r.Header.Set("Key", "k")
@@ -268,7 +268,7 @@
 		status, body := c.call(1, x.method, x.path, x.body)
 		assert.Equal(t, status, x.status, "%s %s: %s", x.method, x.path, body)
 	}
-	r, err := http.NewRequest("GET", "http://"+c.hosts[0].front.Addr()+"/q/a", nil)
+	r, err := http.NewRequest("GET", "http://"+c.hosts[0].apiServer.Addr()+"/q/a", nil)
 	assert.NilError(t, err)
 	r.Host = "h.example"
 	resp, err := http.DefaultClient.Do(r)
@@ -319,9 +319,9 @@
 	c.check()
 }
 
-// TestStoreTurnsOwnerAway checks that the owner keeps ownership and writes through
+// TestStoreRefusesOwner checks that the owner keeps ownership and writes through
 // its peers when the store refuses it or does not answer it.
-func TestStoreTurnsOwnerAway(t *testing.T) {
+func TestStoreRefusesOwner(t *testing.T) {
 	for _, silent := range []bool{false, true} {
 		t.Run(fmt.Sprint("silent=", silent), func(t *testing.T) {
 			c := newCluster(t, 3)
@@ -407,9 +407,9 @@
 	c.check()
 }
 
-// TestZoneOut checks that a zone taken out of service reaches the planner's
+// TestZoneOutOfService checks that a zone taken out of service reaches the planner's
 // configuration, that jobs still run, and that the zone can be restored.
-func TestZoneOut(t *testing.T) {
+func TestZoneOutOfService(t *testing.T) {
 	c := newCluster(t, 2)
 	c.awaitReady()
 	c.store.Put("op", "out/x", []byte("{}"))
@@ -423,9 +423,9 @@
 	c.check()
 }
 
-// TestDoubtfulSubmission repeats a submission whose record may have reached the
+// TestUnconfirmedSubmission repeats a submission whose record may have reached the
 // store. It must not be rejected as not run, since the job may still run.
-func TestDoubtfulSubmission(t *testing.T) {
+func TestUnconfirmedSubmission(t *testing.T) {
 	c := newCluster(t, 1)
 	c.awaitReady()
 	c.store.SetFaults(fakes.StoreFaults{Down: true, Silent: true})
--- a/internal/node/gate/front.go
+++ b/internal/node/gate/front.go
@@ -15,21 +15,21 @@
 
 // Timeouts and limits of a client request.
 const (
-	defaultDeadline = 3 * time.Second
-	answerMargin    = 300 * time.Millisecond  // for the response to reach the client before its deadline
-	ownerWait       = 1500 * time.Millisecond // longer than a normal takeover
-	forwardTimeout  = 1200 * time.Millisecond // of one forwarded call
-	forwardPause    = 50 * time.Millisecond
-	defaultBody     = 256 << 10 // bytes
-	retryTakeover   = 1         // Retry-After in seconds
+	defaultDeadline    = 3 * time.Second
+	responseMargin     = 300 * time.Millisecond  // for the response to reach the client before its deadline
+	ownerWait          = 1500 * time.Millisecond // longer than a normal takeover
+	forwardTimeout     = 1200 * time.Millisecond // of one forwarded call
+	forwardPause       = 50 * time.Millisecond
+	defaultBodyLimit   = 256 << 10 // bytes
+	takeoverRetryAfter = 1         // Retry-After in seconds
 )
 
 // serveAPI serves a client request.
-func (h *Host) serveFront(w http.ResponseWriter, r *http.Request) {
+func (h *Host) serveAPI(w http.ResponseWriter, r *http.Request) {
 	h.inFlight.Add(1)
 	defer h.inFlight.Add(-1)
-	began := h.clock.Now()
-	c, err := h.call(r)
+	startedAt := h.clock.Now()
+	c, err := h.parseCall(r)
 	var a callAnswer
 	if err == nil {
 		a, err = h.dispatch(r.Context(), c, h.deadline(r))
@@ -38,7 +38,7 @@
 		w.Header().Set("Connection", "close")
 	}
 	status := h.reply(w, c, a, err)
-	h.metrics.request(c.Kind, status, h.clock.Now().Sub(began))
+	h.metrics.request(c.Kind, status, h.clock.Now().Sub(startedAt))
 	if err != nil && c.Kind != callStatus && c.Kind != callPending {
 		h.log.Info("refused", "job", c.ID, "status", status, "err", err.Error(), "site", c.SiteNext)
 	}
@@ -59,9 +59,9 @@
 }
 
 // parseCall validates a request and converts it to a call to the owner.
-func (h *Host) call(r *http.Request) (c callMsg, err error) {
+func (h *Host) parseCall(r *http.Request) (c callMsg, err error) {
 	if !h.site.ready() {
-		return c, fault.New(fault.Unavailable, fault.NotRun, "no configuration is known yet").WithRetryAfter(retryTakeover)
+		return c, fault.New(fault.Unavailable, fault.NotRun, "no configuration is known yet").WithRetryAfter(takeoverRetryAfter)
 	}
 	c.SiteNext = h.site.offset()
 	q, ok := h.site.route(r.Host, r.URL.Path)
@@ -88,7 +88,7 @@
 		c.Kind = callCancel
 	case r.Method == http.MethodPost:
 		c.Kind = callSubmit
-		return h.submission(r, c, team)
+		return h.parseSubmission(r, c, team)
 	default:
 		return c, fault.Field("method", r.Method, "must be GET, POST or DELETE")
 	}
@@ -96,10 +96,10 @@
 }
 
 // parseSubmission reads and decodes the body of a job submission.
-func (h *Host) submission(r *http.Request, c callMsg, team string) (callMsg, error) {
+func (h *Host) parseSubmission(r *http.Request, c callMsg, team string) (callMsg, error) {
 	limit := h.site.limits().BodyBytes
 	if limit <= 0 {
-		limit = defaultBody
+		limit = defaultBodyLimit
 	}
 	body, err := io.ReadAll(io.LimitReader(r.Body, limit+1))
 	if err != nil {
@@ -121,27 +121,27 @@
 // the job ID. If any try may have reached an owner, the call fails with outcome
 // Unknown, never NotRun.
 func (h *Host) dispatch(ctx context.Context, c callMsg, wait time.Duration) (a callAnswer, err error) {
-	began := h.clock.Now()
-	ctx, cancel := context.WithTimeout(ctx, max(wait-answerMargin, answerMargin))
+	startedAt := h.clock.Now()
+	ctx, cancel := context.WithTimeout(ctx, max(wait-responseMargin, responseMargin))
 	defer cancel()
 	unknown := false
 	for {
-		a, err = h.once(ctx, c)
+		a, err = h.tryOnce(ctx, c)
 		e := fault.From(err)
 		if err == nil || !retryable(e) {
 			return a, err
 		}
 		unknown = unknown || e.Ran != fault.NotRun
 		h.mu.Lock()
-		changed := h.changed
+		ownerCh := h.ownerCh
 		h.mu.Unlock()
-		if e.RetryAfter > 0 && e.Code != fault.NotOwner || h.clock.Now().Sub(began) > ownerWait || ctx.Err() != nil {
+		if e.RetryAfter > 0 && e.Code != fault.NotOwner || h.clock.Now().Sub(startedAt) > ownerWait || ctx.Err() != nil {
 			break
 		}
 		t := time.NewTimer(forwardPause)
 		select {
 		case <-ctx.Done():
-		case <-changed:
+		case <-ownerCh:
 		case <-t.C:
 		}
 		t.Stop()
@@ -150,7 +150,7 @@
 		return a, fault.New(fault.Timeout, fault.Unknown, "no owner has confirmed the request")
 	}
 	e := fault.From(err)
-	return a, fault.New(fault.Unavailable, fault.NotRun, "%s", e.Detail).WithRetryAfter(max(e.RetryAfter, retryTakeover))
+	return a, fault.New(fault.Unavailable, fault.NotRun, "%s", e.Detail).WithRetryAfter(max(e.RetryAfter, takeoverRetryAfter))
 }
 
 // retryable reports whether a retry, perhaps at another owner, may succeed.
@@ -159,39 +159,39 @@
 }
 
 // tryOnce sends a call to the owner once.
-func (h *Host) once(ctx context.Context, c callMsg) (a callAnswer, err error) {
+func (h *Host) tryOnce(ctx context.Context, c callMsg) (a callAnswer, err error) {
 	h.mu.Lock()
-	l, own, now := h.lead, h.own, h.clock.Now()
+	o, owner, now := h.localOwner, h.owner, h.clock.Now()
 	h.mu.Unlock()
-	if l != nil {
+	if o != nil {
 		return h.serveCall(ctx, c)
 	}
-	if own.addr == "" || own.addr == h.addr || now.Sub(own.heard) > suspectAfter {
+	if owner.addr == "" || owner.addr == h.addr || now.Sub(owner.lastContact) > suspectAfter {
 		return a, fault.New(fault.NotOwner, fault.NotRun, "no owner is known")
 	}
 	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
-	return frame.Call(ctx, h.pool, own.addr, callMethod, c)
+	return frame.Call(ctx, h.pool, owner.addr, callMethod, c)
 }
 
 // serveCall executes a call if this host is the owner.
 func (h *Host) serveCall(ctx context.Context, c callMsg) (a callAnswer, err error) {
 	h.mu.Lock()
-	l := h.lead
+	o := h.localOwner
 	h.mu.Unlock()
-	if l == nil {
+	if o == nil {
 		return a, fault.New(fault.NotOwner, fault.NotRun, "this host does not own the jobs")
 	}
 	switch c.Kind {
 	case callSubmit:
-		return a, l.Submit(ctx, c.Spec)
+		return a, o.Submit(ctx, c.Spec)
 	case callCancel:
-		return a, l.Cancel(ctx, c.ID)
+		return a, o.Cancel(ctx, c.ID)
 	case callPending:
-		a.Pending, err = l.Pending(c.Queue)
+		a.Pending, err = o.Pending(c.Queue)
 		return a, err
 	}
-	s, ok, err := l.Status(c.ID)
+	s, ok, err := o.Status(c.ID)
 	if err == nil && !ok {
 		err = fault.New(fault.NotFound, fault.Done, "no job %q", c.ID)
 	}
--- a/internal/node/gate/host.go
+++ b/internal/node/gate/host.go
@@ -86,36 +86,36 @@
 
 // Host is a running entry host.
 type Host struct {
-	cfg     Config
-	log     logr.Logger
-	clock   clock.Clock
-	addr    string // for calls from other entry hosts
-	store   *relayStore
-	site    *siteState
-	pool    *frame.Pool
-	frames  *frame.Server
-	front   *httpd.Server
-	checks  []*httpd.Server
-	desks   *desks
-	reg     *prometheus.Registry
-	metrics *metrics
-	leadMet *lead.Metrics
+	cfg         Config
+	log         logr.Logger
+	clock       clock.Clock
+	addr        string // for calls from other entry hosts
+	store       *relayStore
+	site        *siteState
+	pool        *frame.Pool
+	peerServer  *frame.Server
+	apiServer   *httpd.Server
+	auxServers  []*httpd.Server
+	adviceHosts *adviceHosts
+	reg         *prometheus.Registry
+	metrics     *metrics
+	leadMetrics *lead.Metrics
 
-	cancel   context.CancelFunc
-	loops    sync.WaitGroup
-	rostered chan struct{} // closed after the registered hosts were first read from the store
-	inFlight atomic.Int64
+	cancel    context.CancelFunc
+	loops     sync.WaitGroup
+	hostsRead chan struct{} // closed after the registered hosts were first read from the store
+	inFlight  atomic.Int64
 
-	mu      sync.Mutex
-	peers   map[string]*peer
-	own     ownership
-	met     bool      // this process has been in contact with an owner
-	since   time.Time // when this host became the owner
-	leaving bool      // this host is shutting down
-	invited bool      // the owner has asked this host to take over
-	replica *replica
-	lead    *lead.Lead    // nil unless this host is the owner
-	changed chan struct{} // closed and replaced when the owner changes
+	mu             sync.Mutex
+	peers          map[string]*peer
+	owner          ownerInfo
+	ownerContacted bool      // this process has been in contact with an owner
+	ownerSince     time.Time // when this host became the owner
+	leaving        bool      // this host is shutting down
+	claimRequested bool      // the owner has asked this host to take over
+	replica        *replica
+	localOwner     *lead.Owner   // nil unless this host is the owner
+	ownerCh        chan struct{} // closed and replaced when the owner changes
 }
 
 // Start opens the listeners and starts the background loops.
@@ -127,21 +127,21 @@
 	h = &Host{
 		cfg: cfg, log: cfg.Logger.WithName("gate").WithValues("host", cfg.Host), clock: cfg.Clock,
 		addr: net.JoinHostPort(cfg.IP, strconv.Itoa(cfg.PeerPort)), site: newSiteState(),
-		pool: frame.NewPool(frame.PoolConfig{}), peers: map[string]*peer{}, changed: make(chan struct{}),
-		replica: newReplica(), rostered: make(chan struct{}), reg: prometheus.NewRegistry(),
+		pool: frame.NewPool(frame.PoolConfig{}), peers: map[string]*peer{}, ownerCh: make(chan struct{}),
+		replica: newReplica(), hostsRead: make(chan struct{}), reg: prometheus.NewRegistry(),
 	}
-	h.own.heard = cfg.Clock.Now()
+	h.owner.lastContact = cfg.Clock.Now()
 	h.store = &relayStore{direct: cfg.Store, host: h}
-	h.desks = &desks{host: h, busy: map[string]bool{}, after: map[string]time.Time{}}
+	h.adviceHosts = &adviceHosts{host: h, busy: map[string]bool{}, retryAt: map[string]time.Time{}}
 	h.metrics = newMetrics(h.reg)
-	h.leadMet = lead.NewMetrics(h.reg)
+	h.leadMetrics = lead.NewMetrics(h.reg)
 	if err := h.listen(); err != nil {
 		h.Kill()
 		return nil, err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	h.cancel = cancel
-	for _, loop := range []func(context.Context){h.siteLoop, h.pingLoop, h.rosterLoop, h.replicaLoop, h.claimLoop} {
+	for _, loop := range []func(context.Context){h.siteLoop, h.pingLoop, h.hostsLoop, h.replicaLoop, h.claimLoop} {
 		h.loops.Add(1)
 		go func() {
 			defer h.loops.Done()
@@ -154,43 +154,43 @@
 
 // listen opens the listeners and starts serving.
 func (h *Host) listen() (err error) {
-	h.frames = frame.NewServer(frame.ServerConfig{Addr: h.addr})
-	frame.Handle(h.frames, pingMethod, h.servePing)
-	frame.Handle(h.frames, callMethod, h.serveCall)
-	frame.Handle(h.frames, adviseMethod, h.serveAdvise)
-	frame.Handle(h.frames, appendMethod, h.serveAppend)
-	frame.Handle(h.frames, readMethod, h.serveRead)
-	frame.Handle(h.frames, newestMethod, h.serveNewest)
-	frame.Handle(h.frames, siteMethod, h.serveSite)
-	if err := h.frames.Listen(); err != nil {
+	h.peerServer = frame.NewServer(frame.ServerConfig{Addr: h.addr})
+	frame.Handle(h.peerServer, pingMethod, h.servePing)
+	frame.Handle(h.peerServer, callMethod, h.serveCall)
+	frame.Handle(h.peerServer, adviseMethod, h.serveAdvise)
+	frame.Handle(h.peerServer, appendMethod, h.serveAppend)
+	frame.Handle(h.peerServer, readMethod, h.serveRead)
+	frame.Handle(h.peerServer, newestMethod, h.serveNewest)
+	frame.Handle(h.peerServer, siteMethod, h.serveSite)
+	if err := h.peerServer.Listen(); err != nil {
 		return err
 	}
-	h.front, err = httpd.Listen(httpd.Config{Name: "gate", Addr: h.cfg.Listen, Handler: http.HandlerFunc(h.serveFront)})
+	h.apiServer, err = httpd.Listen(httpd.Config{Name: "gate", Addr: h.cfg.Listen, Handler: http.HandlerFunc(h.serveAPI)})
 	if err != nil {
 		return err
 	}
-	h.serve(h.front)
-	ready := http.NewServeMux()
-	ready.HandleFunc(h.cfg.ReadyPath, h.serveReady)
-	if err := h.check(h.cfg.Ready, ready); err != nil {
+	h.serve(h.apiServer)
+	readyMux := http.NewServeMux()
+	readyMux.HandleFunc(h.cfg.ReadyPath, h.serveReady)
+	if err := h.listenAux(h.cfg.Ready, readyMux); err != nil {
 		return err
 	}
 	if h.cfg.MetricPort == 0 {
 		return nil
 	}
-	own := http.NewServeMux()
-	own.Handle("/metrics", promhttp.HandlerFor(h.reg, promhttp.HandlerOpts{}))
-	own.HandleFunc("/dump", h.serveDump)
-	return h.check(net.JoinHostPort(h.cfg.IP, strconv.Itoa(h.cfg.MetricPort)), own)
+	metricsMux := http.NewServeMux()
+	metricsMux.Handle("/metrics", promhttp.HandlerFor(h.reg, promhttp.HandlerOpts{}))
+	metricsMux.HandleFunc("/dump", h.serveDump)
+	return h.listenAux(net.JoinHostPort(h.cfg.IP, strconv.Itoa(h.cfg.MetricPort)), metricsMux)
 }
 
 // listenAux serves the readiness check or the metrics on their own address.
-func (h *Host) check(addr string, handler http.Handler) error {
+func (h *Host) listenAux(addr string, handler http.Handler) error {
 	s, err := httpd.Listen(httpd.Config{Addr: addr, Handler: handler})
 	if err != nil {
 		return err
 	}
-	h.checks = append(h.checks, s)
+	h.auxServers = append(h.auxServers, s)
 	h.serve(s)
 	return nil
 }
@@ -215,7 +215,7 @@
 // readyMaxAge is the maximum age of the last contact with the owner for a ready
 // host. It exceeds a normal takeover, during which requests wait instead of
 // failing.
-const readyAge = 2500 * time.Millisecond
+const readyMaxAge = 2500 * time.Millisecond
 
 // ready reports whether this host can serve client requests.
 func (h *Host) ready() bool {
@@ -224,7 +224,7 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return !h.leaving && (h.lead != nil || h.own.addr != "" && h.clock.Now().Sub(h.own.heard) < readyAge)
+	return !h.leaving && (h.localOwner != nil || h.owner.addr != "" && h.clock.Now().Sub(h.owner.lastContact) < readyMaxAge)
 }
 
 // Reload logs that new settings have no effect while the process runs. Operators'
@@ -245,9 +245,9 @@
 	h.mu.Lock()
 	h.leaving = true
 	h.mu.Unlock()
-	h.handOver(ctx)
+	h.leaveAndHandOver(ctx)
 	h.drain(ctx)
-	err = h.front.Shutdown(ctx)
+	err = h.apiServer.Shutdown(ctx)
 	h.close()
 	h.log.Info("stopped")
 	return err
@@ -255,11 +255,11 @@
 
 // drainTime is how long the load balancer may still send new connections: two
 // failed checks at an interval of one second.
-const drainFor = 2300 * time.Millisecond
+const drainTime = 2300 * time.Millisecond
 
 // drain waits for drainTime and until no request is in flight.
 func (h *Host) drain(ctx context.Context) {
-	until := h.clock.Now().Add(drainFor)
+	until := h.clock.Now().Add(drainTime)
 	for ctx.Err() == nil && (h.clock.Now().Before(until) || h.inFlight.Load() > 0) {
 		clock.Sleep(ctx, 20*time.Millisecond)
 	}
@@ -271,24 +271,24 @@
 		h.cancel()
 	}
 	h.mu.Lock()
-	l := h.lead
+	o := h.localOwner
 	h.mu.Unlock()
-	if l != nil {
-		l.Stop("the process is exiting")
+	if o != nil {
+		o.Stop("the process is exiting")
 	}
 	h.pool.Close()
-	if h.frames != nil {
-		h.frames.Close()
+	if h.peerServer != nil {
+		h.peerServer.Close()
 	}
-	for _, s := range h.checks {
+	for _, s := range h.auxServers {
 		_ = s.Close()
 	}
 }
 
 // Kill stops the host without a handover or draining, like a crash.
 func (h *Host) Kill() {
-	if h.front != nil {
-		_ = h.front.Close()
+	if h.apiServer != nil {
+		_ = h.apiServer.Close()
 	}
 	h.close()
 }
@@ -297,9 +297,9 @@
 func (h *Host) viewChanged() {
 	v := h.site.view()
 	h.mu.Lock()
-	l := h.lead
+	o := h.localOwner
 	h.mu.Unlock()
-	if l != nil {
-		l.SetView(v)
+	if o != nil {
+		o.SetView(v)
 	}
 }
--- a/internal/node/gate/member.go
+++ b/internal/node/gate/member.go
@@ -13,51 +13,51 @@
 
 // Intervals and timeouts of the host registry.
 const (
-	rosterEvery   = 2 * time.Second
-	rosterFirst   = 200 * time.Millisecond
-	rosterTimeout = time.Second
+	hostsPollInterval  = 2 * time.Second
+	hostsRetryInterval = 200 * time.Millisecond
+	hostsTimeout       = time.Second
 )
 
 // hostsLoop registers this host in the store and polls the registered hosts.
-func (h *Host) rosterLoop(ctx context.Context) {
-	next, registered, known := int64(-1), false, false
+func (h *Host) hostsLoop(ctx context.Context) {
+	next, registered, loaded := int64(-1), false, false
 	for ctx.Err() == nil {
 		if !registered {
-			registered = h.enlist(ctx) == nil
+			registered = h.registerSelf(ctx) == nil
 		}
-		n, err := h.readRoster(ctx, next)
+		n, err := h.readHosts(ctx, next)
 		next = n
-		if err == nil && !known {
-			known = true
-			close(h.rostered)
+		if err == nil && !loaded {
+			loaded = true
+			close(h.hostsRead)
 		}
-		pause := rosterEvery
+		pause := hostsPollInterval
 		if err != nil || !registered {
-			pause = rosterFirst
+			pause = hostsRetryInterval
 		}
 		clock.Sleep(ctx, pause)
 	}
 }
 
 // hostEntry is the stored registration of a host.
-type rosterEntry struct {
+type hostEntry struct {
 	Az    string
 	Power int64 // millicores
 }
 
 // registerSelf writes this host's registration.
-func (h *Host) enlist(ctx context.Context) error {
-	value, err := frame.Encode(rosterEntry{Az: h.cfg.Az, Power: h.cfg.Power})
+func (h *Host) registerSelf(ctx context.Context) error {
+	value, err := frame.Encode(hostEntry{Az: h.cfg.Az, Power: h.cfg.Power})
 	if err != nil {
 		h.log.Error(err, "failed to encode the host registration")
 		return err
 	}
-	return h.register(ctx, value)
+	return h.writeHostEntry(ctx, value)
 }
 
 // writeHostEntry writes this host's registration. An empty value deletes it.
-func (h *Host) register(ctx context.Context, value []byte) error {
-	ctx, cancel := context.WithTimeout(ctx, rosterTimeout)
+func (h *Host) writeHostEntry(ctx context.Context, value []byte) error {
+	ctx, cancel := context.WithTimeout(ctx, hostsTimeout)
 	defer cancel()
 	_, err := h.store.Append(ctx, ports.AppendRequest{
 		Topic: h.cfg.HostTopic, Records: []ports.Record{{Key: h.addr, Value: value}},
@@ -67,8 +67,8 @@
 
 // readHosts applies the registrations from the offset next on, or the newest one
 // of each host if next is negative. It returns the next offset.
-func (h *Host) readRoster(ctx context.Context, next int64) (int64, error) {
-	ctx, cancel := context.WithTimeout(ctx, rosterTimeout)
+func (h *Host) readHosts(ctx context.Context, next int64) (int64, error) {
+	ctx, cancel := context.WithTimeout(ctx, hostsTimeout)
 	defer cancel()
 	var records []ports.Record
 	if next >= 0 {
@@ -91,12 +91,12 @@
 		}
 		records, next = all, end
 	}
-	h.takeRoster(records)
+	h.applyHosts(records)
 	return next, nil
 }
 
 // applyHosts adds and removes peers.
-func (h *Host) takeRoster(records []ports.Record) {
+func (h *Host) applyHosts(records []ports.Record) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, r := range records {
@@ -105,7 +105,7 @@
 		case len(r.Value) == 0:
 			delete(h.peers, r.Key)
 		case h.peers[r.Key] == nil:
-			e, err := frame.Decode[rosterEntry](r.Value)
+			e, err := frame.Decode[hostEntry](r.Value)
 			if err != nil {
 				h.log.Info("ignoring invalid host registration", "peer", r.Key, "err", err.Error())
 				continue
@@ -123,17 +123,17 @@
 			go h.ping(ctx, addr)
 		}
 		round++
-		clock.Sleep(ctx, pingEvery)
+		clock.Sleep(ctx, pingInterval)
 	}
 }
 
 // pingAllRounds is the number of rounds between heartbeats to all peers. They keep
 // the list of live peers up to date for a takeover.
-const pingAllEvery = 5
+const pingAllRounds = 5
 
 // pingSilentRounds is the number of rounds, about 5 s, between heartbeats to peers
 // that have been silent for longer than silentPeerAge.
-const pingSilentEvery = 25
+const pingSilentRounds = 25
 
 // pingAddrs returns the peers to ping in a round. Every pingAllRounds rounds, and
 // without recent contact with the owner in every round, these are all peers. In the
@@ -141,17 +141,17 @@
 func (h *Host) pingAddrs(round int) []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	silent := h.clock.Now().Sub(h.own.heard)
-	if h.lead == nil && h.own.addr != "" && h.own.addr != h.addr && silent < suspectAfter/2 && round%pingAllEvery != 0 {
-		return []string{h.own.addr}
+	silent := h.clock.Now().Sub(h.owner.lastContact)
+	if h.localOwner == nil && h.owner.addr != "" && h.owner.addr != h.addr && silent < suspectAfter/2 && round%pingAllRounds != 0 {
+		return []string{h.owner.addr}
 	}
-	if h.lead != nil && round%pingAllEvery != 0 {
+	if h.localOwner != nil && round%pingAllRounds != 0 {
 		return nil
 	}
 	var list []string
 	now := h.clock.Now()
 	for addr, p := range h.peers {
-		if p.heard.IsZero() || now.Sub(p.heard) < forgetPeer || round%pingSilentEvery == 0 {
+		if p.lastContact.IsZero() || now.Sub(p.lastContact) < silentPeerAge || round%pingSilentRounds == 0 {
 			list = append(list, addr)
 		}
 	}
@@ -161,14 +161,14 @@
 // self returns the heartbeat of this host.
 func (h *Host) self() ping {
 	site := h.site.offset()
-	storeOK := h.store.ok()
+	storeOK := h.store.healthy()
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	p := ping{
-		Addr: h.addr, Az: h.cfg.Az, Leaving: h.leaving, Epoch: h.own.epoch, Owner: h.own.addr,
-		OwnerAgeMs: h.clock.Now().Sub(h.own.heard).Milliseconds(), SiteNext: site, StoreOK: storeOK, Power: h.cfg.Power,
+		Addr: h.addr, Az: h.cfg.Az, Leaving: h.leaving, Epoch: h.owner.epoch, Owner: h.owner.addr,
+		OwnerAgeMs: h.clock.Now().Sub(h.owner.lastContact).Milliseconds(), SiteNext: site, StoreOK: storeOK, Power: h.cfg.Power,
 	}
-	if h.lead != nil {
+	if h.localOwner != nil {
 		p.OwnerAgeMs = 0
 	}
 	return p
@@ -185,22 +185,22 @@
 		}
 		return
 	}
-	h.hear(ctx, a)
+	h.processPing(ctx, a)
 }
 
 // servePing processes a peer's heartbeat and answers with this host's.
 func (h *Host) servePing(ctx context.Context, p ping) (ping, error) {
-	h.hear(context.WithoutCancel(ctx), p)
+	h.processPing(context.WithoutCancel(ctx), p)
 	if p.Claim {
 		h.mu.Lock()
-		h.invited = true
+		h.claimRequested = true
 		h.mu.Unlock()
 	}
 	return h.self(), nil
 }
 
 // processPing updates the peer and the owner from a peer's heartbeat.
-func (h *Host) hear(ctx context.Context, a ping) {
+func (h *Host) processPing(ctx context.Context, a ping) {
 	now := h.clock.Now()
 	h.mu.Lock()
 	p := h.peers[a.Addr]
@@ -208,27 +208,27 @@
 		p = &peer{addr: a.Addr, az: a.Az}
 		h.peers[a.Addr] = p
 	}
-	p.power, p.heard, p.leaving, p.owner, p.storeOK = a.Power, now, a.Leaving, a.Owner, a.StoreOK
-	p.heardBy = time.Duration(a.OwnerAgeMs) * time.Millisecond
-	if a.Epoch > h.own.epoch && a.Owner != "" {
-		h.setOwner(a.Epoch, a.Owner, now.Add(-p.heardBy))
+	p.power, p.lastContact, p.leaving, p.ownerAddr, p.storeOK = a.Power, now, a.Leaving, a.Owner, a.StoreOK
+	p.ownerAge = time.Duration(a.OwnerAgeMs) * time.Millisecond
+	if a.Epoch > h.owner.epoch && a.Owner != "" {
+		h.setOwner(a.Epoch, a.Owner, now.Add(-p.ownerAge))
 	}
-	if a.Epoch == h.own.epoch && a.Owner == a.Addr && a.OwnerAgeMs == 0 {
-		h.own.heard, h.met = now, true
+	if a.Epoch == h.owner.epoch && a.Owner == a.Addr && a.OwnerAgeMs == 0 {
+		h.owner.lastContact, h.ownerContacted = now, true
 	}
 	h.mu.Unlock()
 	if a.SiteNext > h.site.offset() {
-		go h.catchUp(ctx, a.Addr)
+		go h.fetchSite(ctx, a.Addr)
 	}
 }
 
 // setOwner records an owner with a higher epoch and the time of the last contact
 // with it. It stops the owner on this host if another host is the new one. The
 // caller holds h.mu.
-func (h *Host) setOwner(epoch int64, addr string, heard time.Time) {
-	h.own = ownership{epoch: epoch, addr: addr, heard: heard}
-	if h.lead != nil && addr != h.addr {
-		h.lead.Stop("a peer has claimed a higher epoch")
+func (h *Host) setOwner(epoch int64, addr string, lastContact time.Time) {
+	h.owner = ownerInfo{epoch: epoch, addr: addr, lastContact: lastContact}
+	if h.localOwner != nil && addr != h.addr {
+		h.localOwner.Stop("a peer has claimed a higher epoch")
 	}
 	h.ownerChanged()
 	h.log.Info("owner", "epoch", epoch, "addr", addr)
@@ -236,8 +236,8 @@
 
 // ownerChanged wakes the requests that wait for an owner. The caller holds h.mu.
 func (h *Host) ownerChanged() {
-	close(h.changed)
-	h.changed = make(chan struct{})
+	close(h.ownerCh)
+	h.ownerCh = make(chan struct{})
 }
 
 // peerList returns a copy of the peers. The caller holds h.mu.
@@ -257,7 +257,7 @@
 	now := h.clock.Now()
 	var list []*peer
 	for _, p := range h.peers {
-		if p.storeOK && now.Sub(p.heard) < recentPeer {
+		if p.storeOK && now.Sub(p.lastContact) < recentPeerAge {
 			list = append(list, p)
 		}
 	}
@@ -266,7 +266,7 @@
 		if near != (list[b].az == h.cfg.Az) {
 			return near
 		}
-		return list[a].heard.After(list[b].heard)
+		return list[a].lastContact.After(list[b].lastContact)
 	})
 	var addrs []string
 	for _, p := range list {
@@ -284,7 +284,7 @@
 	now := h.clock.Now()
 	var list []string
 	for addr, p := range h.peers {
-		if !p.leaving && now.Sub(p.heard) < recentPeer {
+		if !p.leaving && now.Sub(p.lastContact) < recentPeerAge {
 			list = append(list, addr)
 		}
 	}
--- a/internal/node/gate/metrics.go
+++ b/internal/node/gate/metrics.go
@@ -60,15 +60,15 @@
 	now := h.clock.Now()
 	d := dump{Host: h.cfg.Host}
 	h.site.mu.Lock()
-	d.SiteVersion, d.SiteAgeMs = h.site.site.Version, now.Sub(h.site.heard).Milliseconds()
+	d.SiteVersion, d.SiteAgeMs = h.site.site.Version, now.Sub(h.site.lastUpdate).Milliseconds()
 	h.site.mu.Unlock()
 	h.mu.Lock()
-	d.Owner, d.Epoch, d.OwnerAgeMs, d.IsOwner = h.own.addr, h.own.epoch, now.Sub(h.own.heard).Milliseconds(), h.lead != nil
-	if !h.replica.busy && h.lead == nil {
+	d.Owner, d.Epoch, d.OwnerAgeMs, d.IsOwner = h.owner.addr, h.owner.epoch, now.Sub(h.owner.lastContact).Milliseconds(), h.localOwner != nil
+	if !h.replica.inUse && h.localOwner == nil {
 		d.Next = h.replica.state.Next
 	}
 	for _, p := range h.peers {
-		d.Peers = append(d.Peers, peerDump{p.addr, p.az, now.Sub(p.heard).Milliseconds(), p.leaving, p.storeOK})
+		d.Peers = append(d.Peers, peerDump{p.addr, p.az, now.Sub(p.lastContact).Milliseconds(), p.leaving, p.storeOK})
 	}
 	h.mu.Unlock()
 	w.Header().Set("Content-Type", "application/json")
--- a/internal/node/gate/peers_test.go
+++ b/internal/node/gate/peers_test.go
@@ -13,28 +13,28 @@
 func TestShouldClaim(t *testing.T) {
 	now := time.Unix(1000, 0)
 	live := func(addr string, power int64) peer {
-		return peer{addr: addr, heard: now, power: power, heardBy: time.Hour}
+		return peer{addr: addr, lastContact: now, power: power, ownerAge: time.Hour}
 	}
 	hears := func(addr string) peer {
-		return peer{addr: addr, heard: now, owner: "o", heardBy: 100 * time.Millisecond}
+		return peer{addr: addr, lastContact: now, ownerAddr: "o", ownerAge: 100 * time.Millisecond}
 	}
-	dead := func(addr string) peer { return peer{addr: addr, heard: now.Add(-time.Minute)} }
+	dead := func(addr string) peer { return peer{addr: addr, lastContact: now.Add(-time.Minute)} }
 	for _, c := range []struct {
 		name string
-		c    contest
+		c    election
 		want bool
 	}{
-		{"recent contact with the owner", contest{silent: 700 * time.Millisecond}, false},
-		{"no other host is known", contest{silent: suspectAfter}, true},
-		{"first by address", contest{silent: suspectAfter, peers: []peer{live("b", 0)}}, true},
-		{"second by address", contest{self: "c", silent: suspectAfter, peers: []peer{live("b", 0)}}, false},
-		{"second, later", contest{self: "c", silent: suspectAfter + claimStagger, peers: []peer{live("b", 0)}}, true},
-		{"a more powerful host claims first", contest{silent: suspectAfter, power: 192, peers: []peer{live("b", 800)}}, false},
-		{"a peer has contact with the owner", contest{silent: time.Minute, peers: []peer{hears("b")}}, false},
-		{"isolated, the topic grows", contest{silent: time.Minute, grows: true, peers: []peer{dead("b")}}, false},
-		{"isolated, after the delay", contest{silent: aloneAfter + 1, peers: []peer{dead("b")}}, true},
-		{"isolated, before the delay", contest{silent: aloneAfter - 1, peers: []peer{dead("b")}}, false},
-		{"invited", contest{invited: true}, true},
+		{"recent contact with the owner", election{ownerSilence: 700 * time.Millisecond}, false},
+		{"no other host is known", election{ownerSilence: suspectAfter}, true},
+		{"first by address", election{ownerSilence: suspectAfter, peers: []peer{live("b", 0)}}, true},
+		{"second by address", election{self: "c", ownerSilence: suspectAfter, peers: []peer{live("b", 0)}}, false},
+		{"second, later", election{self: "c", ownerSilence: suspectAfter + claimStagger, peers: []peer{live("b", 0)}}, true},
+		{"a more powerful host claims first", election{ownerSilence: suspectAfter, power: 192, peers: []peer{live("b", 800)}}, false},
+		{"a peer has contact with the owner", election{ownerSilence: time.Minute, peers: []peer{hears("b")}}, false},
+		{"isolated, the topic grows", election{ownerSilence: time.Minute, topicGrows: true, peers: []peer{dead("b")}}, false},
+		{"isolated, after the delay", election{ownerSilence: isolatedClaimDelay + 1, peers: []peer{dead("b")}}, true},
+		{"isolated, before the delay", election{ownerSilence: isolatedClaimDelay - 1, peers: []peer{dead("b")}}, false},
+		{"invited", election{claimRequested: true}, true},
 	} {
 		if c.c.self == "" {
 			c.c.self = "a"
@@ -44,16 +44,16 @@
 	}
 }
 
-func TestSuccessor(t *testing.T) {
+func TestStrongerPeer(t *testing.T) {
 	now := time.Unix(1000, 0)
 	peers := []peer{
-		{addr: "a", heard: now, power: 800, storeOK: true}, {addr: "b", heard: now, power: 900, storeOK: true, leaving: true},
-		{addr: "c", heard: now.Add(-time.Minute), power: 900, storeOK: true}, {addr: "d", heard: now, power: 900},
+		{addr: "a", lastContact: now, power: 800, storeOK: true}, {addr: "b", lastContact: now, power: 900, storeOK: true, leaving: true},
+		{addr: "c", lastContact: now.Add(-time.Minute), power: 900, storeOK: true}, {addr: "d", lastContact: now, power: 900},
 	}
-	addr, ok := successor(192, peers, now)
+	addr, ok := strongerPeer(192, peers, now)
 	assert.Assert(t, ok)
 	assert.Equal(t, addr, "a")
-	_, ok = successor(500, peers, now)
+	_, ok = strongerPeer(500, peers, now)
 	assert.Assert(t, !ok, "less than twice as powerful")
 }
 
@@ -66,28 +66,28 @@
 	}
 }
 
-// TestHeirs guards against a handover to a host that is shutting down too, which
-// caused an outage of 0.9 s.
-func TestHeirs(t *testing.T) {
+// TestHandoverCandidates guards against a handover to a host that is shutting down
+// too, which caused an outage of 0.9 s.
+func TestHandoverCandidates(t *testing.T) {
 	now := time.Unix(1000, 0)
-	got := heirs([]peer{
-		{addr: "a", heard: now, leaving: true, power: 9}, {addr: "c", heard: now, power: 4}, {addr: "b", heard: now, power: 4},
-		{addr: "d", heard: now.Add(-time.Minute), power: 9}, {addr: "e", heard: now, power: 8},
+	got := handoverCandidates([]peer{
+		{addr: "a", lastContact: now, leaving: true, power: 9}, {addr: "c", lastContact: now, power: 4}, {addr: "b", lastContact: now, power: 4},
+		{addr: "d", lastContact: now.Add(-time.Minute), power: 9}, {addr: "e", lastContact: now, power: 8},
 	}, now)
 	assert.DeepEqual(t, got, []string{"e", "b", "c"})
 }
 
-// TestInLine guards against replicas on hosts that are not standbys. When all of 35
-// hosts read all job records over 10 Mbit/s links, one advice request in six was
+// TestIsStandby guards against replicas on hosts that are not standbys. When all of
+// 35 hosts read all job records over 10 Mbit/s links, one advice request in six was
 // delayed by 140 ms.
-func TestInLine(t *testing.T) {
+func TestIsStandby(t *testing.T) {
 	now := time.Unix(1000, 0)
-	peers := []peer{{addr: "o", heard: now, power: 800}, {addr: "gone", heard: now.Add(-time.Minute), power: 900}}
+	peers := []peer{{addr: "o", lastContact: now, power: 800}, {addr: "gone", lastContact: now.Add(-time.Minute), power: 900}}
 	for _, a := range []string{"a", "b", "c"} {
-		peers = append(peers, peer{addr: a, heard: now, power: 800})
+		peers = append(peers, peer{addr: a, lastContact: now, power: 800})
 	}
 	for _, a := range []string{"s1", "s2", "s3"} {
-		peers = append(peers, peer{addr: a, heard: now, power: 192})
+		peers = append(peers, peer{addr: a, lastContact: now, power: 192})
 	}
 	others := func(self string) (list []peer) {
 		for _, p := range peers {
@@ -99,32 +99,32 @@
 	}
 	var copies []string
 	for _, p := range peers {
-		if p.addr != "o" && p.addr != "gone" && inLine(p, "o", others(p.addr), false, now) {
+		if p.addr != "o" && p.addr != "gone" && isStandby(p, "o", others(p.addr), false, now) {
 			copies = append(copies, p.addr)
 		}
 	}
 	assert.DeepEqual(t, copies, []string{"a", "b", "c"})
-	alone := []peer{{addr: "a", heard: now.Add(-time.Minute), power: 800}}
-	assert.Assert(t, inLine(peer{addr: "s1", power: 192}, "a", alone, false, now), "a host without contact to any peer")
+	alone := []peer{{addr: "a", lastContact: now.Add(-time.Minute), power: 800}}
+	assert.Assert(t, isStandby(peer{addr: "s1", power: 192}, "a", alone, false, now), "a host without contact to any peer")
 	var unheard []peer
 	for _, a := range []string{"a", "b", "c"} {
 		unheard = append(unheard, peer{addr: a, power: 800})
 	}
-	assert.Assert(t, !inLine(peer{addr: "s1", power: 192}, "", unheard, true, now), "a host that has just started counts peers without a heartbeat")
-	assert.Assert(t, inLine(peer{addr: "s1", power: 192}, "", unheard, false, now), "peers that have not answered do not count")
+	assert.Assert(t, !isStandby(peer{addr: "s1", power: 192}, "", unheard, true, now), "a host that has just started counts peers without a heartbeat")
+	assert.Assert(t, isStandby(peer{addr: "s1", power: 192}, "", unheard, false, now), "peers that have not answered do not count")
 }
 
-// TestPingsGoOn checks that hosts that have been silent for long are pinged less
-// often, but are still pinged. Otherwise the two sides of a long network partition
-// would not find each other again.
-func TestPingsGoOn(t *testing.T) {
+// TestPingSilentPeers checks that hosts that have been silent for long are pinged
+// less often, but are still pinged. Otherwise the two sides of a long network
+// partition would not find each other again.
+func TestPingSilentPeers(t *testing.T) {
 	c := clock.NewManual(time.Unix(1000, 0))
 	now := c.Now()
 	h := &Host{clock: c, peers: map[string]*peer{
-		"new": {addr: "new"}, "live": {addr: "live", heard: now}, "gone": {addr: "gone", heard: now.Add(-2 * forgetPeer)},
+		"new": {addr: "new"}, "live": {addr: "live", lastContact: now}, "gone": {addr: "gone", lastContact: now.Add(-2 * silentPeerAge)},
 	}}
 	asked := map[string]int{}
-	const rounds = 4 * pingSilentEvery
+	const rounds = 4 * pingSilentRounds
 	for round := range rounds {
 		for _, addr := range h.pingAddrs(round) {
 			asked[addr]++
@@ -133,32 +133,32 @@
 	assert.DeepEqual(t, asked, map[string]int{"new": rounds, "live": rounds, "gone": 4})
 }
 
-// TestOwnerOfRecords guards against a delayed first claim after a power loss of all
-// hosts. The first claim waited 0.8 s for the owner named in the records, which had
-// lost power too, and hosts that had only read of it reported it to each other as
-// live.
-func TestOwnerOfRecords(t *testing.T) {
+// TestClaimAfterPowerLoss guards against a delayed first claim after a power loss of
+// all hosts. The first claim waited 0.8 s for the owner named in the records, which
+// had lost power too, and hosts that had only read of it reported it to each other
+// as live.
+func TestClaimAfterPowerLoss(t *testing.T) {
 	c := clock.NewManual(time.Unix(1000, 0))
 	newHost := func() *Host {
 		return &Host{
 			cfg: Config{Power: 800, Logger: logr.Discard()}, clock: c, log: logr.Discard(), addr: "a", site: newSiteState(),
-			peers: map[string]*peer{}, replica: newReplica(), changed: make(chan struct{}), own: ownership{heard: c.Now()},
+			peers: map[string]*peer{}, replica: newReplica(), ownerCh: make(chan struct{}), owner: ownerInfo{lastContact: c.Now()},
 			store: &relayStore{},
 		}
 	}
 	h := newHost()
-	h.setOwner(5, "dead", h.presumed())
+	h.setOwner(5, "dead", h.assumedContact())
 	assert.Assert(t, !h.mayClaim(), "the owner has not had time to answer")
-	c.Advance(ownerProbe)
+	c.Advance(ownerProbeTimeout)
 	assert.Assert(t, h.mayClaim())
 
 	h = newHost()
-	h.met = true
-	h.setOwner(5, "o", h.presumed())
+	h.ownerContacted = true
+	h.setOwner(5, "o", h.assumedContact())
 	c.Advance(suspectAfter - time.Millisecond)
 	assert.Assert(t, !h.mayClaim(), "a host that has been in contact with an owner waits for the new one")
 
 	h = newHost()
-	h.hear(t.Context(), ping{Addr: "b", Epoch: 5, Owner: "dead", OwnerAgeMs: 700})
-	assert.Equal(t, c.Now().Sub(h.own.heard), 700*time.Millisecond, "an owner reported by a peer has the reported age")
+	h.processPing(t.Context(), ping{Addr: "b", Epoch: 5, Owner: "dead", OwnerAgeMs: 700})
+	assert.Equal(t, c.Now().Sub(h.owner.lastContact), 700*time.Millisecond, "an owner reported by a peer has the reported age")
 }
--- a/internal/node/gate/relay.go
+++ b/internal/node/gate/relay.go
@@ -18,65 +18,65 @@
 	direct ports.Store
 	host   *Host
 
-	mu     sync.Mutex
-	badAt  time.Time // last failed direct call
-	bads   int       // failures since the last successful direct call
-	goodAt time.Time // last successful direct call
+	mu          sync.Mutex
+	lastFailure time.Time // last failed direct call
+	failures    int       // failures since the last successful direct call
+	lastSuccess time.Time // last successful direct call
 }
 
 var _ ports.Store = (*relayStore)(nil)
 
 // Exponential backoff of direct calls while peers relay.
 const (
-	retryDirect     = 400 * time.Millisecond
-	mostRetryDirect = 3200 * time.Millisecond
+	directBackoff    = 400 * time.Millisecond
+	maxDirectBackoff = 3200 * time.Millisecond
 )
 
 // hedgeDelay is how long a direct call may take before peers are tried as well: ten
 // times the usual store latency, and less than the start latency of urgent jobs.
-const hedgeAfter = 80 * time.Millisecond
+const hedgeDelay = 80 * time.Millisecond
 
 // maxRelays is the maximum number of peers tried for one call.
-const relays = 2
+const maxRelays = 2
 
 // healthy reports whether the last direct call succeeded.
-func (s *relayStore) ok() bool {
+func (s *relayStore) healthy() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return !s.goodAt.IsZero() && !s.badAt.After(s.goodAt)
+	return !s.lastSuccess.IsZero() && !s.lastFailure.After(s.lastSuccess)
 }
 
 // recordResult records the result of a direct call.
-func (s *relayStore) note(ctx context.Context, err error) {
+func (s *relayStore) recordResult(ctx context.Context, err error) {
 	if err != nil && errors.Is(ctx.Err(), context.Canceled) {
 		return // canceled by the caller, not a store failure
 	}
-	if err != nil && !answered(err) {
-		s.fail(err.Error())
+	if err != nil && !definitive(err) {
+		s.recordFailure(err.Error())
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.badAt.After(s.goodAt) {
+	if s.lastFailure.After(s.lastSuccess) {
 		s.host.log.Info("store answers again")
 	}
-	s.goodAt, s.bads = s.host.clock.Now(), 0
+	s.lastSuccess, s.failures = s.host.clock.Now(), 0
 }
 
 // recordFailure records a failure of the direct path.
-func (s *relayStore) fail(reason string) {
+func (s *relayStore) recordFailure(reason string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.badAt.After(s.goodAt) {
+	if !s.lastFailure.After(s.lastSuccess) {
 		s.host.log.Info("store does not answer", "err", reason)
 	}
-	s.badAt = s.host.clock.Now()
-	s.bads++
+	s.lastFailure = s.host.clock.Now()
+	s.failures++
 }
 
 // definitive reports whether err is the store's answer to the request itself, so
 // that a peer would get the same answer.
-func answered(err error) bool {
+func definitive(err error) bool {
 	var gone *ports.GoneError
 	reason := ports.ReasonOf(err)
 	return errors.As(err, &gone) || reason != "" && reason != ports.RefusedBusy && reason != ports.RefusedOther
@@ -86,15 +86,15 @@
 func (s *relayStore) skipDirect() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	pause := min(retryDirect<<min(max(s.bads-1, 0), 8), mostRetryDirect)
-	return s.badAt.After(s.goodAt) && s.host.clock.Now().Sub(s.badAt) < pause
+	pause := min(directBackoff<<min(max(s.failures-1, 0), 8), maxDirectBackoff)
+	return s.lastFailure.After(s.lastSuccess) && s.host.clock.Now().Sub(s.lastFailure) < pause
 }
 
 // storeCall is a call to the store on one path.
-type way[T any] func(context.Context) (T, error)
+type storeCall[T any] func(context.Context) (T, error)
 
 // callResult is the result of a call on one path.
-type outcome[T any] struct {
+type callResult[T any] struct {
 	v      T
 	err    error
 	direct bool
@@ -105,48 +105,48 @@
 // direct path is the first to recover. If hedge is not zero, peers are also tried
 // once the direct call has taken that long, so that a call on a dead connection does
 // not have to wait for its deadline.
-func both[T any](ctx context.Context, s *relayStore, hedge time.Duration, direct way[T], relay func(context.Context, string) (T, error)) (v T, err error) {
+func hedgedCall[T any](ctx context.Context, s *relayStore, hedge time.Duration, direct storeCall[T], relay func(context.Context, string) (T, error)) (v T, err error) {
 	if s.skipDirect() && len(s.host.storePeers(1)) > 0 {
 		none := fault.New(fault.Unavailable, fault.NotRun, "the store is not reachable from this host")
-		o := viaPeers(ctx, s, outcome[T]{err: none}, relay)
+		o := viaPeers(ctx, s, callResult[T]{err: none}, relay)
 		return o.v, o.err
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	done := make(chan outcome[T], 2)
+	done := make(chan callResult[T], 2)
 	go func() {
 		v, err := direct(ctx)
-		s.note(ctx, err)
-		done <- outcome[T]{v: v, err: err, direct: true}
+		s.recordResult(ctx, err)
+		done <- callResult[T]{v: v, err: err, direct: true}
 	}()
-	first, ok := await(done, hedge)
+	first, ok := awaitResult(done, hedge)
 	if ok {
-		if first.settled() {
+		if first.final() {
 			return first.v, first.err
 		}
 		first = viaPeers(ctx, s, first, relay)
 		return first.v, first.err
 	}
 	none := fault.New(fault.Timeout, fault.Unknown, "the store has not answered yet")
-	go func() { done <- viaPeers(ctx, s, outcome[T]{err: none}, relay) }()
+	go func() { done <- viaPeers(ctx, s, callResult[T]{err: none}, relay) }()
 	first = <-done
-	if !first.settled() {
+	if !first.final() {
 		second := <-done
-		if second.settled() || fault.RanOf(first.err) != fault.Unknown {
+		if second.final() || fault.RanOf(first.err) != fault.Unknown {
 			first = second
 		}
 	}
-	if !first.direct && first.settled() {
-		s.fail("the call relayed by a peer was answered first")
+	if !first.direct && first.final() {
+		s.recordFailure("the call relayed by a peer was answered first")
 	}
 	return first.v, first.err
 }
 
 // final reports whether the store has answered, so that no other path is needed.
-func (o outcome[T]) settled() bool { return o.err == nil || answered(o.err) }
+func (o callResult[T]) final() bool { return o.err == nil || definitive(o.err) }
 
 // awaitResult waits for a result, for at most d if d is not zero.
-func await[T any](done <-chan outcome[T], d time.Duration) (o outcome[T], ok bool) {
+func awaitResult[T any](done <-chan callResult[T], d time.Duration) (o callResult[T], ok bool) {
 	if d == 0 {
 		return <-done, true
 	}
@@ -162,12 +162,12 @@
 
 // viaPeers tries peers after a failed call. If all of them fail too, it returns the
 // last error with outcome Unknown, or the failed result if there is none.
-func viaPeers[T any](ctx context.Context, s *relayStore, failed outcome[T], relay func(context.Context, string) (T, error)) outcome[T] {
-	for _, addr := range s.host.storePeers(relays) {
+func viaPeers[T any](ctx context.Context, s *relayStore, failed callResult[T], relay func(context.Context, string) (T, error)) callResult[T] {
+	for _, addr := range s.host.storePeers(maxRelays) {
 		rctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), relayTimeout)
 		v, err := relay(rctx, addr)
 		cancel()
-		if o := (outcome[T]{v: v, err: err}); o.settled() {
+		if o := (callResult[T]{v: v, err: err}); o.final() {
 			return o
 		}
 		if fault.RanOf(err) == fault.Unknown {
@@ -182,7 +182,7 @@
 
 // Append adds records; see ports.Store.
 func (s *relayStore) Append(ctx context.Context, r ports.AppendRequest) (int64, error) {
-	return both(ctx, s, hedgeAfter,
+	return hedgedCall(ctx, s, hedgeDelay,
 		func(ctx context.Context) (int64, error) { return s.direct.Append(ctx, r) },
 		func(ctx context.Context, addr string) (int64, error) {
 			a, err := frame.Call(ctx, s.host.pool, addr, appendMethod, r)
@@ -195,31 +195,31 @@
 
 // Read returns records; see ports.Store.
 func (s *relayStore) Read(ctx context.Context, r ports.ReadRequest) (ports.Page, error) {
-	hedge := hedgeAfter
+	hedge := hedgeDelay
 	if r.Wait > 0 {
 		hedge = 0
 	}
-	return both(ctx, s, hedge,
+	return hedgedCall(ctx, s, hedge,
 		func(ctx context.Context) (ports.Page, error) { return s.direct.Read(ctx, r) },
 		func(ctx context.Context, addr string) (ports.Page, error) {
 			r.Wait = 0
 			a, err := frame.Call(ctx, s.host.pool, addr, readMethod, r)
-			return a.Page, a.err(err)
+			return a.Page, a.toError(err)
 		})
 }
 
 // Newest returns the newest record of each key; see ports.Store.
 func (s *relayStore) Newest(ctx context.Context, topic, after string) (ports.Newest, error) {
-	return both(ctx, s, 0,
+	return hedgedCall(ctx, s, 0,
 		func(ctx context.Context) (ports.Newest, error) { return s.direct.Newest(ctx, topic, after) },
 		func(ctx context.Context, addr string) (ports.Newest, error) {
 			a, err := frame.Call(ctx, s.host.pool, addr, newestMethod, newestMsg{Topic: topic, After: after})
-			return ports.Newest{Records: a.Page.Records, End: a.Page.End, More: a.More}, a.err(err)
+			return ports.Newest{Records: a.Page.Records, End: a.Page.End, More: a.More}, a.toError(err)
 		})
 }
 
 // toError returns err, or the store error that the answer holds.
-func (a readAnswer) err(err error) error {
+func (a readAnswer) toError(err error) error {
 	switch {
 	case err != nil:
 		return err
@@ -234,7 +234,7 @@
 // serveAppend relays a peer's append to the store.
 func (h *Host) serveAppend(ctx context.Context, r ports.AppendRequest) (a appendAnswer, err error) {
 	offset, err := h.store.direct.Append(ctx, r)
-	h.store.note(ctx, err)
+	h.store.recordResult(ctx, err)
 	var refused *ports.RefusedError
 	if errors.As(err, &refused) {
 		return appendAnswer{Reason: refused.Reason, Status: refused.Status}, nil
@@ -245,14 +245,14 @@
 // serveRead relays a peer's read to the store.
 func (h *Host) serveRead(ctx context.Context, r ports.ReadRequest) (readAnswer, error) {
 	p, err := h.store.direct.Read(ctx, r)
-	h.store.note(ctx, err)
+	h.store.recordResult(ctx, err)
 	return toReadAnswer(p, "", err)
 }
 
 // serveNewest relays a peer's read of the newest records to the store.
 func (h *Host) serveNewest(ctx context.Context, m newestMsg) (readAnswer, error) {
 	n, err := h.store.direct.Newest(ctx, m.Topic, m.After)
-	h.store.note(ctx, err)
+	h.store.recordResult(ctx, err)
 	return toReadAnswer(ports.Page{Records: n.Records, End: n.End}, n.More, err)
 }
 
--- a/internal/node/gate/relay_test.go
+++ b/internal/node/gate/relay_test.go
@@ -17,7 +17,7 @@
 // host alone. Such a store delayed every second append of the owner by 700 ms.
 func TestSilentStore(t *testing.T) {
 	c := clock.NewManual(time.Unix(1000, 0))
-	h := &Host{clock: c, log: logr.Discard(), peers: map[string]*peer{"b": {addr: "b", heard: c.Now(), storeOK: true}}}
+	h := &Host{clock: c, log: logr.Discard(), peers: map[string]*peer{"b": {addr: "b", lastContact: c.Now(), storeOK: true}}}
 	s := &relayStore{host: h}
 	var directs atomic.Int32
 	silent := func(ctx context.Context) (int, error) {
@@ -29,19 +29,19 @@
 	call := func() time.Duration {
 		ctx, cancel := context.WithTimeout(t.Context(), 700*time.Millisecond)
 		defer cancel()
-		began := time.Now()
-		v, err := both(ctx, s, hedgeAfter, silent, relay)
+		startedAt := time.Now()
+		v, err := hedgedCall(ctx, s, hedgeDelay, silent, relay)
 		assert.NilError(t, err)
 		assert.Equal(t, v, 7)
-		return time.Since(began)
+		return time.Since(startedAt)
 	}
 	assert.Assert(t, call() < 350*time.Millisecond, "half of the timeout")
 	assert.Equal(t, directs.Load(), int32(1))
 	call()
 	assert.Equal(t, directs.Load(), int32(1), "the direct path is in backoff")
 	for range 6 {
-		c.Advance(retryDirect)
-		h.peers["b"].heard = c.Now()
+		c.Advance(directBackoff)
+		h.peers["b"].lastContact = c.Now()
 		call()
 	}
 	assert.Equal(t, directs.Load(), int32(3), "the backoff grows with each failure")
@@ -51,7 +51,7 @@
 // affected all hosts ends. Hosts skipped it for up to 3.2 s more.
 func TestOutageEnds(t *testing.T) {
 	c := clock.NewManual(time.Unix(1000, 0))
-	h := &Host{clock: c, log: logr.Discard(), peers: map[string]*peer{"b": {addr: "b", heard: c.Now()}}}
+	h := &Host{clock: c, log: logr.Discard(), peers: map[string]*peer{"b": {addr: "b", lastContact: c.Now()}}}
 	s := &relayStore{host: h}
 	var down atomic.Bool
 	down.Store(true)
@@ -65,11 +65,11 @@
 		return 0, fault.New(fault.Unavailable, fault.NotRun, "reset")
 	}
 	for range 8 {
-		_, err := both(t.Context(), s, hedgeAfter, direct, relay)
+		_, err := hedgedCall(t.Context(), s, hedgeDelay, direct, relay)
 		assert.Assert(t, err != nil)
 	}
 	down.Store(false)
-	v, err := both(t.Context(), s, hedgeAfter, direct, relay)
+	v, err := hedgedCall(t.Context(), s, hedgeDelay, direct, relay)
 	assert.NilError(t, err)
 	assert.Equal(t, v, 7)
 }
@@ -78,16 +78,16 @@
 // equally slow for all hosts.
 func TestSlowStore(t *testing.T) {
 	c := clock.NewManual(time.Unix(1000, 0))
-	h := &Host{clock: c, log: logr.Discard(), peers: map[string]*peer{"b": {addr: "b", heard: c.Now(), storeOK: true}}}
+	h := &Host{clock: c, log: logr.Discard(), peers: map[string]*peer{"b": {addr: "b", lastContact: c.Now(), storeOK: true}}}
 	s := &relayStore{host: h}
 	slow := func(v int) func(context.Context) (int, error) {
 		return func(context.Context) (int, error) {
-			time.Sleep(2 * hedgeAfter)
+			time.Sleep(2 * hedgeDelay)
 			return v, nil
 		}
 	}
-	v, err := both(t.Context(), s, hedgeAfter, slow(1), func(ctx context.Context, _ string) (int, error) { return slow(2)(ctx) })
+	v, err := hedgedCall(t.Context(), s, hedgeDelay, slow(1), func(ctx context.Context, _ string) (int, error) { return slow(2)(ctx) })
 	assert.NilError(t, err)
 	assert.Equal(t, v, 1)
-	assert.Assert(t, s.ok())
+	assert.Assert(t, s.healthy())
 }
--- a/internal/node/gate/site.go
+++ b/internal/node/gate/site.go
@@ -17,24 +17,24 @@
 // siteState is the configuration and the availability zones out of service,
 // according to the operator topic. It never reverts to an older version.
 type siteState struct {
-	mu     sync.Mutex
-	newest map[string]ports.Record // newest record of each key
-	next   int64                   // offset up to which the topic has been read
-	site   ports.Site
-	closed map[string]bool   // availability zones out of service
-	teams  map[string]string // team of each API key
-	heard  time.Time         // last update from the store or a peer
+	mu          sync.Mutex
+	newest      map[string]ports.Record // newest record of each key
+	next        int64                   // offset up to which the topic has been read
+	site        ports.Site
+	closedZones map[string]bool   // availability zones out of service
+	teams       map[string]string // team of each API key
+	lastUpdate  time.Time         // last update from the store or a peer
 }
 
 func newSiteState() *siteState {
-	return &siteState{newest: map[string]ports.Record{}, closed: map[string]bool{}, teams: map[string]string{}}
+	return &siteState{newest: map[string]ports.Record{}, closedZones: map[string]bool{}, teams: map[string]string{}}
 }
 
 // Timeouts and intervals of reading the operator topic.
 const (
-	sitePoll    = 2 * time.Second // long poll
-	siteTimeout = time.Second     // in addition to the wait
-	sitePause   = 200 * time.Millisecond
+	siteLongPoll   = 2 * time.Second // long poll
+	siteTimeout    = time.Second     // in addition to the wait
+	siteRetryPause = 200 * time.Millisecond
 )
 
 // ready reports whether a configuration has been read.
@@ -62,7 +62,7 @@
 	for _, t := range s.site.Teams {
 		v.Teams[t.Name] = sched.Limit{Max: t.Max, Weight: t.Weight}
 	}
-	for az := range s.closed {
+	for az := range s.closedZones {
 		v.Closed[az] = true
 	}
 	return v
@@ -105,7 +105,7 @@
 		var err error
 		next, err = h.readSite(ctx, next)
 		if err != nil {
-			clock.Sleep(ctx, sitePause)
+			clock.Sleep(ctx, siteRetryPause)
 		}
 	}
 }
@@ -116,8 +116,8 @@
 	if next < 0 {
 		return h.readWholeSite(ctx)
 	}
-	wait := sitePoll
-	if !h.store.ok() {
+	wait := siteLongPoll
+	if !h.store.healthy() {
 		wait = 0
 	}
 	rctx, cancel := context.WithTimeout(ctx, wait+siteTimeout)
@@ -130,12 +130,12 @@
 	if err != nil {
 		return next, err
 	}
-	h.takeSite(page.Records, page.End)
+	h.applySite(page.Records, page.End)
 	for _, r := range page.Records {
 		next = r.Offset + 1
 	}
 	if wait == 0 && len(page.Records) == 0 {
-		clock.Sleep(ctx, sitePause)
+		clock.Sleep(ctx, siteRetryPause)
 	}
 	return next, nil
 }
@@ -148,31 +148,31 @@
 	if err != nil {
 		return -1, err
 	}
-	h.site.replace(all, end)
-	h.takeSite(all, end)
+	h.site.dropMissing(all, end)
+	h.applySite(all, end)
 	return end, nil
 }
 
 // dropMissing drops the keys that are not in all, the newest record of each key.
-func (s *siteState) replace(all []ports.Record, end int64) {
+func (s *siteState) dropMissing(all []ports.Record, end int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if end < s.next {
 		return
 	}
-	there := map[string]bool{}
+	present := map[string]bool{}
 	for _, r := range all {
-		there[r.Key] = true
+		present[r.Key] = true
 	}
 	for key := range s.newest {
-		if !there[key] {
+		if !present[key] {
 			delete(s.newest, key)
 		}
 	}
 }
 
 // applySite applies records of the operator topic, read from the store or a peer.
-func (h *Host) takeSite(records []ports.Record, end int64) {
+func (h *Host) applySite(records []ports.Record, end int64) {
 	s := h.site
 	s.mu.Lock()
 	changed := false
@@ -182,18 +182,18 @@
 		}
 		s.newest[r.Key] = r
 		changed = true
-		h.takeOperator(s, r)
+		h.applyOperator(s, r)
 	}
 	s.next = max(s.next, end)
-	s.heard = h.clock.Now()
-	closed := map[string]bool{}
+	s.lastUpdate = h.clock.Now()
+	closedZones := map[string]bool{}
 	for key, r := range s.newest {
 		if o := h.cfg.ParseOperator(key); o.Az != "" && len(r.Value) > 0 {
-			closed[o.Az] = true
+			closedZones[o.Az] = true
 		}
 	}
-	changed = changed || len(closed) != len(s.closed)
-	s.closed = closed
+	changed = changed || len(closedZones) != len(s.closedZones)
+	s.closedZones = closedZones
 	s.mu.Unlock()
 	if changed {
 		h.viewChanged()
@@ -201,7 +201,7 @@
 }
 
 // applyOperator applies one record. The caller holds s.mu.
-func (h *Host) takeOperator(s *siteState, r ports.Record) {
+func (h *Host) applyOperator(s *siteState, r ports.Record) {
 	o := h.cfg.ParseOperator(r.Key)
 	switch {
 	case o.Az != "":
@@ -242,11 +242,11 @@
 }
 
 // fetchSite fetches the operator records from a peer that has newer ones.
-func (h *Host) catchUp(ctx context.Context, addr string) {
+func (h *Host) fetchSite(ctx context.Context, addr string) {
 	ctx, cancel := context.WithTimeout(ctx, pingTimeout)
 	defer cancel()
 	a, err := frame.Call(ctx, h.pool, addr, siteMethod, siteMsg{Next: h.site.offset()})
 	if err == nil {
-		h.takeSite(a.Records, a.Next)
+		h.applySite(a.Records, a.Next)
 	}
 }
--- a/internal/node/lead/lead.go
+++ b/internal/node/lead/lead.go
@@ -34,8 +34,8 @@
 // Writer is the writer name of all appends to the job topic.
 const Writer = "owner"
 
-// Advisers sends requests to the advice service through several hosts.
-type Advisers interface {
+// AdviceClient sends requests to the advice service through several hosts.
+type AdviceClient interface {
 	sched.Desks
 	// Advise sends the request through the host reserved for it and releases
 	// that host. It also returns the age of the answer.
@@ -44,69 +44,69 @@
 
 // Config configures an owner.
 type Config struct {
-	Claim    sched.Claim
-	Topic    string
-	State    *sched.State // built from all records up to the claim
-	Store    ports.Store
-	Workers  ports.Workers
-	Advisers Advisers
-	Registry string // topic of the worker registry
-	Parse    func(key string, value []byte) (sched.WorkerInfo, error)
-	WorkerID func(key string) string
-	View     sched.View
-	Clock    clock.Clock
-	Logger   logr.Logger
-	Metrics  *Metrics
-	KeepMs   int64 // retention time of ended jobs
-	LeaseMax int64 // longest lease that a worker grants, in ms
+	Claim        sched.Claim
+	JobTopic     string
+	State        *sched.State // built from all records up to the claim
+	Store        ports.Store
+	Workers      ports.Workers
+	AdviceClient AdviceClient
+	WorkerTopic  string // topic of the worker registry
+	ParseWorker  func(key string, value []byte) (sched.WorkerInfo, error)
+	WorkerID     func(key string) string
+	View         sched.View
+	Clock        clock.Clock
+	Logger       logr.Logger
+	Metrics      *Metrics
+	KeepMs       int64 // retention time of ended jobs
+	LeaseMax     int64 // longest lease that a worker grants, in ms
 }
 
 // Intervals, timeouts and limits of an owner.
 const (
-	leaseMs        = 5_000                  // survives a takeover and a 2 s power loss of all hosts; delays the rerun of a crashed worker's tasks
-	silenceMs      = 6_000                  // an owner without a confirmed append for this long renews no leases
-	idleEvery      = 500 * time.Millisecond // an idle owner appends a record to show that it is alive
-	planEvery      = 25 * time.Millisecond  // tickets expire and jobs become due without an event
-	registryEvery  = 250 * time.Millisecond // a draining worker must get no start 2 s later
-	appendTimeout  = 700 * time.Millisecond // a slow store answers within 300 ms
-	busyPause      = 25 * time.Millisecond
-	storeStuck     = 1200 * time.Millisecond // a longer append makes new submissions fail fast
-	maxSubmissions = 4_000                   // submissions queued for the store
+	leaseMs              = 5_000                  // survives a takeover and a 2 s power loss of all hosts; delays the rerun of a crashed worker's tasks
+	maxConfirmAgeMs      = 6_000                  // an owner without a confirmed append for this long renews no leases
+	idleAppendInterval   = 500 * time.Millisecond // an idle owner appends a record to show that it is alive
+	planInterval         = 25 * time.Millisecond  // tickets expire and jobs become due without an event
+	registryPollInterval = 250 * time.Millisecond // a draining worker must get no start 2 s later
+	appendTimeout        = 700 * time.Millisecond // a slow store answers within 300 ms
+	appendRetryPause     = 25 * time.Millisecond
+	storeOutageAfter     = 1200 * time.Millisecond // a longer append makes new submissions fail fast
+	maxQueuedSubmissions = 4_000                   // submissions queued for the store
 )
 
 // Owner is a running owner of the job topic.
-type Lead struct {
-	cfg    Config
-	log    logr.Logger
-	cancel context.CancelFunc
-	ctx    context.Context
-	loops  sync.WaitGroup
-	done   chan struct{}
-	end    sync.Once
-	kick   chan struct{} // wakes the plan loop
-	write  chan struct{} // wakes the write loop
-	seq    int64         // of the next append; used by the write loop only
-	slow   bool          // the last append was slow; used by the write loop only
-
-	mu        sync.Mutex
-	plan      *sched.Planner
-	submits   []*submission
-	cancels   []*cancellation
-	clocks    map[string]workerClock
-	holds     map[string]context.CancelFunc
-	stops     map[sched.Stop]bool
-	starts    []sched.Start // planned, intents not stored yet
-	stored    chan struct{} // closed and replaced after each append
-	stuckFrom time.Time     // send time of the first try of the unconfirmed append; zero if there is none
-	confirmed time.Time     // send time of the last confirmed append
-	explained time.Time     // time of the last log lines about late tasks
+type Owner struct {
+	cfg       Config
+	log       logr.Logger
+	cancel    context.CancelFunc
+	ctx       context.Context
+	loops     sync.WaitGroup
+	done      chan struct{}
+	stopOnce  sync.Once
+	planWake  chan struct{} // wakes the plan loop
+	writeWake chan struct{} // wakes the write loop
+	nextSeq   int64         // of the next append; used by the write loop only
+	storeSlow bool          // the last append was slow; used by the write loop only
+
+	mu               sync.Mutex
+	planner          *sched.Planner
+	submissions      []*submission
+	cancellations    []*cancellation
+	workerClocks     map[string]workerClock
+	heartbeats       map[string]context.CancelFunc
+	stopsInFlight    map[sched.Stop]bool
+	plannedStarts    []sched.Start // planned, intents not stored yet
+	stored           chan struct{} // closed and replaced after each append
+	unconfirmedSince time.Time     // send time of the first try of the unconfirmed append; zero if there is none
+	lastConfirmed    time.Time     // send time of the last confirmed append
+	lastLateLog      time.Time     // time of the last log lines about late tasks
 }
 
 // workerClock is a reading of a worker's clock.
 type workerClock struct {
-	clock int64 // in ms
-	at    time.Time
-	born  int64 // incarnation of the worker
+	ms          int64 // reading of the worker's clock
+	readAt      time.Time
+	incarnation int64 // of the worker
 }
 
 // submission is a job that waits to be stored.
@@ -122,69 +122,70 @@
 }
 
 // Start runs an owner in the background.
-func Start(cfg Config) *Lead {
+func Start(cfg Config) *Owner {
 	ctx, cancel := context.WithCancel(context.Background())
-	l := &Lead{
-		cfg: cfg, ctx: ctx, cancel: cancel, done: make(chan struct{}), kick: make(chan struct{}, 1), write: make(chan struct{}, 1),
-		log:    cfg.Logger.WithName("lead").WithValues("epoch", cfg.Claim.Epoch),
-		clocks: map[string]workerClock{}, holds: map[string]context.CancelFunc{}, stops: map[sched.Stop]bool{},
-		stored: make(chan struct{}), confirmed: cfg.Clock.Now(), seq: 1,
+	o := &Owner{
+		cfg: cfg, ctx: ctx, cancel: cancel, done: make(chan struct{}), planWake: make(chan struct{}, 1), writeWake: make(chan struct{}, 1),
+		log:          cfg.Logger.WithName("lead").WithValues("epoch", cfg.Claim.Epoch),
+		workerClocks: map[string]workerClock{}, heartbeats: map[string]context.CancelFunc{}, stopsInFlight: map[sched.Stop]bool{},
+		stored: make(chan struct{}), lastConfirmed: cfg.Clock.Now(), nextSeq: 1,
 	}
-	l.plan = sched.NewPlanner(sched.Config{
-		State: cfg.State, SilenceMs: silenceMs, LeaseMs: l.lease(), LeaseMaxMs: cfg.LeaseMax, KeepMs: cfg.KeepMs,
-	}, l.now())
-	l.plan.SetView(cfg.View)
-	l.log.Info("took over", "jobs", len(cfg.State.Jobs), "offset", cfg.State.Next)
-	for _, loop := range []func(){l.planLoop, l.writeLoop, l.registryLoop} {
-		l.loops.Add(1)
+	o.planner = sched.NewPlanner(sched.Config{
+		State: cfg.State, SilenceMs: maxConfirmAgeMs, LeaseMs: o.leaseDuration(), LeaseMaxMs: cfg.LeaseMax, KeepMs: cfg.KeepMs,
+	}, o.now())
+	o.planner.SetView(cfg.View)
+	o.log.Info("took over", "jobs", len(cfg.State.Jobs), "offset", cfg.State.Next)
+	for _, loop := range []func(){o.planLoop, o.writeLoop, o.registryLoop} {
+		o.loops.Add(1)
 		go func() {
-			defer l.loops.Done()
+			defer o.loops.Done()
 			loop()
 		}()
 	}
 	go func() {
-		l.loops.Wait()
-		close(l.done)
+		o.loops.Wait()
+		close(o.done)
 	}()
-	return l
+	return o
 }
 
 // leaseDuration returns the lease duration in ms: leaseMs or the maximum of the
 // workers, whichever is shorter.
-func (l *Lead) lease() int64 {
-	if l.cfg.LeaseMax > 0 {
-		return min(leaseMs, l.cfg.LeaseMax)
+func (o *Owner) leaseDuration() int64 {
+	if o.cfg.LeaseMax > 0 {
+		return min(leaseMs, o.cfg.LeaseMax)
 	}
 	return leaseMs
 }
 
 // now returns the current time as monotonic and wall-clock milliseconds.
-func (l *Lead) now() sched.Instant {
-	t := l.cfg.Clock.Now()
-	return sched.Instant{Ms: steadyMs(t), Wall: t.UnixMilli()}
+func (o *Owner) now() sched.Instant {
+	t := o.cfg.Clock.Now()
+	return sched.Instant{Ms: monotonicMs(t), Wall: t.UnixMilli()}
 }
 
+// processStart is the origin of the monotonic time.
 var processStart = time.Now()
 
 // monotonicMs returns the milliseconds between process start and t.
-func steadyMs(t time.Time) int64 { return t.Sub(processStart).Milliseconds() }
+func monotonicMs(t time.Time) int64 { return t.Sub(processStart).Milliseconds() }
 
 // Done returns a channel that is closed when all loops of the owner have ended.
-func (l *Lead) Done() <-chan struct{} { return l.done }
+func (o *Owner) Done() <-chan struct{} { return o.done }
 
 // Stop gives up ownership and fails the submissions that are not stored.
-func (l *Lead) Stop(reason string) {
-	l.end.Do(func() {
-		l.log.Info("gave up ownership", "reason", reason)
-		l.cancel()
+func (o *Owner) Stop(reason string) {
+	o.stopOnce.Do(func() {
+		o.log.Info("gave up ownership", "reason", reason)
+		o.cancel()
 	})
 }
 
 // wakePlanner wakes the plan loop.
-func (l *Lead) wake() { signal(l.kick) }
+func (o *Owner) wakePlanner() { notify(o.planWake) }
 
 // notify sends on ch without blocking; a pending notification is not repeated.
-func signal(ch chan struct{}) {
+func notify(ch chan struct{}) {
 	select {
 	case ch <- struct{}{}:
 	default:
@@ -192,84 +193,84 @@
 }
 
 // SetView passes a new configuration to the planner.
-func (l *Lead) SetView(v sched.View) {
-	l.mu.Lock()
-	l.plan.SetView(v)
-	l.mu.Unlock()
-	l.wake()
+func (o *Owner) SetView(v sched.View) {
+	o.mu.Lock()
+	o.planner.SetView(v)
+	o.mu.Unlock()
+	o.wakePlanner()
 }
 
 // errNotOwner returns the error for requests that a stopping owner has not sent
 // to the store.
-func errStopped() error {
+func errNotOwner() error {
 	return fault.New(fault.NotOwner, fault.NotRun, "this host no longer owns the jobs")
 }
 
 // Submit returns nil once the job is stored. Repeating the submission of a stored
 // job has no effect.
-func (l *Lead) Submit(ctx context.Context, spec sched.Spec) error {
+func (o *Owner) Submit(ctx context.Context, spec sched.Spec) error {
 	s := &submission{spec: spec, done: make(chan error, 1)}
-	l.mu.Lock()
-	if _, known := l.plan.Status(spec.ID); known {
-		l.mu.Unlock()
+	o.mu.Lock()
+	if _, known := o.planner.Status(spec.ID); known {
+		o.mu.Unlock()
 		return nil
 	}
-	if err := l.admit(); err != nil {
-		defer l.mu.Unlock()
-		return l.refusal(spec.ID, err)
+	if err := o.admit(); err != nil {
+		defer o.mu.Unlock()
+		return o.rejection(spec.ID, err)
 	}
-	l.submits = append(l.submits, s)
-	l.mu.Unlock()
-	signal(l.write)
+	o.submissions = append(o.submissions, s)
+	o.mu.Unlock()
+	notify(o.writeWake)
 	select {
 	case err := <-s.done:
 		return err
 	case <-ctx.Done():
-		return l.abandon(s)
+		return o.withdraw(s)
 	}
 }
 
 // admit rejects a submission that cannot be stored soon. The caller holds o.mu.
-func (l *Lead) admit() error {
+func (o *Owner) admit() error {
 	switch {
-	case l.ctx.Err() != nil:
-		return errStopped()
-	case len(l.submits) >= maxSubmissions:
-		return fault.New(fault.Overload, fault.NotRun, "%d submissions wait for the store", len(l.submits)).WithRetryAfter(1)
-	case !l.stuckFrom.IsZero() && l.cfg.Clock.Now().Sub(l.stuckFrom) > storeStuck:
-		return fault.New(fault.Unavailable, fault.NotRun, "the store does not answer").WithRetryAfter(retryAfterOutage)
+	case o.ctx.Err() != nil:
+		return errNotOwner()
+	case len(o.submissions) >= maxQueuedSubmissions:
+		return fault.New(fault.Overload, fault.NotRun, "%d submissions wait for the store", len(o.submissions)).WithRetryAfter(1)
+	case !o.unconfirmedSince.IsZero() && o.cfg.Clock.Now().Sub(o.unconfirmedSince) > storeOutageAfter:
+		return fault.New(fault.Unavailable, fault.NotRun, "the store does not answer").WithRetryAfter(outageRetryAfterSeconds)
 	}
 	return nil
 }
 
 // outageRetryAfterSeconds is the Retry-After value during a store outage, which
 // lasts several seconds.
-const retryAfterOutage = 2
+const outageRetryAfterSeconds = 2
 
 // errUnconfirmed returns the error for a request whose record is sent: it may be
 // stored already or may be stored later.
-func errDoubt() error {
+func errUnconfirmed() error {
 	return fault.New(fault.Timeout, fault.Unknown, "the store has not confirmed the request yet")
 }
 
 // rejection returns err, or errUnconfirmed if an earlier submission of the same
 // job has been sent to the store and may still run. The caller holds o.mu.
-func (l *Lead) refusal(id string, err error) error {
-	if _, sent := l.plan.Job(id); sent {
-		return errDoubt()
+func (o *Owner) rejection(id string, err error) error {
+	if _, sent := o.planner.Job(id); sent {
+		return errUnconfirmed()
 	}
 	return err
 }
 
 // withdraw removes a submission that has not been sent to the store. For one that
 // has been sent, it returns the result, or errUnconfirmed if there is none yet.
-func (l *Lead) abandon(s *submission) error {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for i, o := range l.submits {
-		if o == s {
-			l.submits = append(l.submits[:i], l.submits[i+1:]...)
-			return l.refusal(s.spec.ID, fault.New(fault.Unavailable, fault.NotRun, "not stored in time").WithRetryAfter(1))
+func (o *Owner) withdraw(s *submission) error {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	for i, other := range o.submissions {
+		if other == s {
+			o.submissions = append(o.submissions[:i], o.submissions[i+1:]...)
+			return o.rejection(s.spec.ID, fault.New(fault.Unavailable, fault.NotRun, "not stored in time").WithRetryAfter(1))
 		}
 	}
 	select {
@@ -277,45 +278,45 @@
 		return err
 	default:
 	}
-	return errDoubt()
+	return errUnconfirmed()
 }
 
 // Cancel cancels a job and returns once the cancellation is stored.
-func (l *Lead) Cancel(ctx context.Context, id string) error {
+func (o *Owner) Cancel(ctx context.Context, id string) error {
 	c := &cancellation{id: id, done: make(chan error, 1)}
-	l.mu.Lock()
-	if l.ctx.Err() != nil {
-		l.mu.Unlock()
-		return errStopped()
+	o.mu.Lock()
+	if o.ctx.Err() != nil {
+		o.mu.Unlock()
+		return errNotOwner()
 	}
-	l.cancels = append(l.cancels, c)
-	l.mu.Unlock()
-	signal(l.write)
+	o.cancellations = append(o.cancellations, c)
+	o.mu.Unlock()
+	notify(o.writeWake)
 	select {
 	case err := <-c.done:
 		return err
 	case <-ctx.Done():
-		return errDoubt()
+		return errUnconfirmed()
 	}
 }
 
 // Status returns a job's state and whether the job exists.
-func (l *Lead) Status(id string) (sched.Status, bool, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.ctx.Err() != nil {
-		return "", false, errStopped()
+func (o *Owner) Status(id string) (sched.Status, bool, error) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	if o.ctx.Err() != nil {
+		return "", false, errNotOwner()
 	}
-	s, ok := l.plan.Status(id)
+	s, ok := o.planner.Status(id)
 	return s, ok, nil
 }
 
 // Pending returns the number of jobs of a queue without a started task.
-func (l *Lead) Pending(queue string) (int, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.ctx.Err() != nil {
-		return 0, errStopped()
+func (o *Owner) Pending(queue string) (int, error) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	if o.ctx.Err() != nil {
+		return 0, errNotOwner()
 	}
-	return l.plan.Pending(queue), nil
+	return o.planner.Pending(queue), nil
 }
--- a/internal/node/lead/main_test.go
+++ b/internal/node/lead/main_test.go
@@ -2,4 +2,4 @@
 
 import "flag"
 
-var playSeeds = flag.Int("play.seeds", 12, "number of seeds that TestPlay runs")
+var simSeeds = flag.Int("play.seeds", 12, "number of seeds that TestPlay runs")
--- a/internal/node/lead/metrics.go
+++ b/internal/node/lead/metrics.go
@@ -11,10 +11,10 @@
 
 // Metrics holds the metrics of an owner. A nil *Metrics records nothing.
 type Metrics struct {
-	appends *prometheus.HistogramVec
-	starts  *prometheus.HistogramVec
-	holds   *prometheus.CounterVec
-	advices *prometheus.CounterVec
+	appends        *prometheus.HistogramVec
+	starts         *prometheus.HistogramVec
+	heartbeats     *prometheus.CounterVec
+	adviceRequests *prometheus.CounterVec
 }
 
 // latencyBuckets range from one round trip to a store outage, in seconds.
@@ -29,18 +29,18 @@
 		starts: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name: "lagooncourse_start_seconds", Help: "Time of an order to start a task.", Buckets: latencyBuckets,
 		}, []string{"outcome"}),
-		holds: prometheus.NewCounterVec(prometheus.CounterOpts{
+		heartbeats: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "lagooncourse_holds_total", Help: "Lease renewals sent to workers.",
 		}, []string{"outcome"}),
-		advices: prometheus.NewCounterVec(prometheus.CounterOpts{
+		adviceRequests: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "lagooncourse_advice_total", Help: "Questions to the advice service.",
 		}, []string{"outcome"}),
 	}
-	reg.MustRegister(m.appends, m.starts, m.holds, m.advices)
+	reg.MustRegister(m.appends, m.starts, m.heartbeats, m.adviceRequests)
 	return m
 }
 
-func (m *Metrics) append(d time.Duration, tries int) {
+func (m *Metrics) observeAppend(d time.Duration, tries int) {
 	if m == nil {
 		return
 	}
@@ -51,19 +51,19 @@
 	m.appends.WithLabelValues(repeated).Observe(d.Seconds())
 }
 
-func (m *Metrics) start(d time.Duration, err error) {
+func (m *Metrics) observeStart(d time.Duration, err error) {
 	if m != nil {
 		m.starts.WithLabelValues(outcomeLabel(err)).Observe(d.Seconds())
 	}
 }
 
-func (m *Metrics) hold(err error) {
+func (m *Metrics) countHeartbeat(err error) {
 	if m != nil {
-		m.holds.WithLabelValues(outcomeLabel(err)).Inc()
+		m.heartbeats.WithLabelValues(outcomeLabel(err)).Inc()
 	}
 }
 
-func (m *Metrics) advice(ok bool) {
+func (m *Metrics) countAdvice(ok bool) {
 	if m == nil {
 		return
 	}
@@ -71,7 +71,7 @@
 	if !ok {
 		label = "failed"
 	}
-	m.advices.WithLabelValues(label).Inc()
+	m.adviceRequests.WithLabelValues(label).Inc()
 }
 
 // outcomeLabel returns the value of the outcome label.
--- a/internal/node/lead/order.go
+++ b/internal/node/lead/order.go
@@ -13,71 +13,71 @@
 
 // Timeouts and retry limits of orders and heartbeats.
 const (
-	startTimeout  = 400 * time.Millisecond // workers answer within a few ms; starts are idempotent
-	startTries    = 2
-	stopTimeout   = 500 * time.Millisecond
-	stopPause     = 150 * time.Millisecond
-	holdWait      = 700 * time.Millisecond // bounds the delay of a reported end when an answer is lost
-	holdTimeout   = 400 * time.Millisecond // in addition to the wait
-	holdPause     = 100 * time.Millisecond // first backoff after a failure
-	maxHoldPause  = 1500 * time.Millisecond
-	storedTimeout = time.Second // leases must be renewed during a store outage
+	startTimeout           = 400 * time.Millisecond // workers answer within a few ms; starts are idempotent
+	startTries             = 2
+	stopTimeout            = 500 * time.Millisecond
+	stopRetryPause         = 150 * time.Millisecond
+	heartbeatWait          = 700 * time.Millisecond // bounds the delay of a reported end when an answer is lost
+	heartbeatTimeout       = 400 * time.Millisecond // in addition to the wait
+	heartbeatRetryPause    = 100 * time.Millisecond // first backoff after a failure
+	maxHeartbeatRetryPause = 1500 * time.Millisecond
+	endsStoredTimeout      = time.Second // leases must be renewed during a store outage
 )
 
 // mayRenew reports whether the last confirmed append is recent enough to renew
 // leases. The caller holds o.mu.
-func (l *Lead) mayRenew() bool {
-	return l.cfg.Clock.Now().Sub(l.confirmed) < silenceMs*time.Millisecond
+func (o *Owner) mayRenew() bool {
+	return o.cfg.Clock.Now().Sub(o.lastConfirmed) < maxConfirmAgeMs*time.Millisecond
 }
 
 // leaseEnd returns the end of a lease that begins now, on the worker's clock. It
 // returns 0 if the clock is unknown or leases must not be renewed. The caller
 // holds o.mu.
-func (l *Lead) leaseEnd(id string) int64 {
-	c, ok := l.clocks[id]
-	if info, _ := l.plan.Worker(id); !ok || info.Born != c.born || !l.mayRenew() {
+func (o *Owner) leaseEnd(id string) int64 {
+	c, ok := o.workerClocks[id]
+	if info, _ := o.planner.Worker(id); !ok || info.Born != c.incarnation || !o.mayRenew() {
 		return 0
 	}
-	l.plan.Renewing(id, l.now())
-	return c.clock + l.cfg.Clock.Now().Sub(c.at).Milliseconds() + l.lease()
+	o.planner.Renewing(id, o.now())
+	return c.ms + o.cfg.Clock.Now().Sub(c.readAt).Milliseconds() + o.leaseDuration()
 }
 
 // sendStart sends a start and retries it while the outcome is unknown.
-func (l *Lead) send(s sched.Start) {
+func (o *Owner) sendStart(s sched.Start) {
 	out := sched.StartUnknown
 	var err error
 	for try := 0; try < startTries && out == sched.StartUnknown; try++ {
-		l.mu.Lock()
+		o.mu.Lock()
 		end := int64(0)
-		if l.plan.Due(s) {
-			end = l.leaseEnd(s.Worker)
+		if o.planner.Due(s) {
+			end = o.leaseEnd(s.Worker)
 		}
-		l.mu.Unlock()
+		o.mu.Unlock()
 		if end == 0 {
 			if try == 0 {
 				out = sched.StartRefused
 			}
 			break
 		}
-		ctx, cancel := context.WithTimeout(l.ctx, startTimeout)
-		sent := l.cfg.Clock.Now()
-		_, err = l.cfg.Workers.Start(ctx, ports.StartOrder{
-			Peer: ports.Peer{ID: s.Worker, Addr: s.Addr}, Token: l.cfg.Claim.Epoch, Task: s.Ref.String(), Run: s.Run,
+		ctx, cancel := context.WithTimeout(o.ctx, startTimeout)
+		sent := o.cfg.Clock.Now()
+		_, err = o.cfg.Workers.Start(ctx, ports.StartOrder{
+			Peer: ports.Peer{ID: s.Worker, Addr: s.Addr}, Token: o.cfg.Claim.Epoch, Task: s.Ref.String(), Run: s.Run,
 			Payload: s.Payload, LeaseEnd: end, Saved: s.Saved, Ticket: s.Ticket,
 		})
 		cancel()
-		l.cfg.Metrics.start(l.cfg.Clock.Now().Sub(sent), err)
-		out = outcomeOf(err, try)
-		l.checkFence(err)
-	}
-	l.mu.Lock()
-	l.plan.Started(s, out, l.now())
-	l.takeStops()
-	l.mu.Unlock()
+		o.cfg.Metrics.observeStart(o.cfg.Clock.Now().Sub(sent), err)
+		out = startOutcome(err, try)
+		o.checkFence(err)
+	}
+	o.mu.Lock()
+	o.planner.Started(s, out, o.now())
+	o.dispatchStops()
+	o.mu.Unlock()
 	if out != sched.StartUp {
-		l.wake()
+		o.wakePlanner()
 	}
-	l.log.Info("start", "task", s.Ref.String(), "run", s.Run, "worker", s.Worker, "outcome", out.String(), "err", errText(err))
+	o.log.Info("start", "task", s.Ref.String(), "run", s.Run, "worker", s.Worker, "outcome", out.String(), "err", errText(err))
 }
 
 // errText returns the text of err for a log line, "" if err is nil.
@@ -89,15 +89,15 @@
 }
 
 // checkFence gives up ownership if a worker refused the fencing token as outdated.
-func (l *Lead) checkFence(err error) {
+func (o *Owner) checkFence(err error) {
 	if ports.ReasonOf(err) == ports.RefusedFence {
-		l.Stop("a worker has seen a higher fencing token")
+		o.Stop("a worker has seen a higher fencing token")
 	}
 }
 
 // startOutcome returns the outcome of attempt try of a start. A refused retry
 // leaves the outcome unknown, since the first attempt may still arrive.
-func outcomeOf(err error, try int) sched.Outcome {
+func startOutcome(err error, try int) sched.Outcome {
 	if err == nil {
 		return sched.StartUp
 	}
@@ -124,97 +124,97 @@
 
 // dispatchStops sends the stops that the planner has requested. The caller holds
 // o.mu.
-func (l *Lead) takeStops() {
-	for _, s := range l.plan.TakeStops() {
-		if !l.stops[s] {
-			l.stops[s] = true
-			go l.stop(s)
+func (o *Owner) dispatchStops() {
+	for _, s := range o.planner.TakeStops() {
+		if !o.stopsInFlight[s] {
+			o.stopsInFlight[s] = true
+			go o.sendStop(s)
 		}
 	}
 }
 
 // sendStop retries a stop until the worker confirms it, refuses it or is removed.
-func (l *Lead) stop(s sched.Stop) {
+func (o *Owner) sendStop(s sched.Stop) {
 	defer func() {
-		l.mu.Lock()
-		delete(l.stops, s)
-		l.mu.Unlock()
+		o.mu.Lock()
+		delete(o.stopsInFlight, s)
+		o.mu.Unlock()
 	}()
-	for l.ctx.Err() == nil {
-		info, ok := l.worker(s.Worker)
+	for o.ctx.Err() == nil {
+		info, ok := o.worker(s.Worker)
 		if !ok {
 			return
 		}
-		ctx, cancel := context.WithTimeout(l.ctx, stopTimeout)
-		err := l.cfg.Workers.Stop(ctx, ports.StopOrder{
-			Peer: ports.Peer{ID: info.ID, Addr: info.Addr}, Token: l.cfg.Claim.Epoch, Task: s.Ref.String(), Run: s.Run,
+		ctx, cancel := context.WithTimeout(o.ctx, stopTimeout)
+		err := o.cfg.Workers.Stop(ctx, ports.StopOrder{
+			Peer: ports.Peer{ID: info.ID, Addr: info.Addr}, Token: o.cfg.Claim.Epoch, Task: s.Ref.String(), Run: s.Run,
 		})
 		cancel()
-		l.log.Info("stop", "task", s.Ref.String(), "run", s.Run, "worker", s.Worker, "err", errText(err))
-		if l.stopSettled(s, err) {
+		o.log.Info("stop", "task", s.Ref.String(), "run", s.Run, "worker", s.Worker, "err", errText(err))
+		if o.handleStopResult(s, err) {
 			return
 		}
-		time.Sleep(stopPause)
+		time.Sleep(stopRetryPause)
 	}
 }
 
 // handleStopResult processes the result of a stop and reports whether no retry is
 // needed. A refusal for a reason other than overload means that the run does not
 // exist and will not start.
-func (l *Lead) stopSettled(s sched.Stop, err error) bool {
+func (o *Owner) handleStopResult(s sched.Stop, err error) bool {
 	switch reason := ports.ReasonOf(err); {
 	case err == nil:
 	case reason == "" || reason == ports.RefusedBusy:
 		return false
 	case reason == ports.RefusedFence:
-		l.checkFence(err)
+		o.checkFence(err)
 		return true
 	case reason == ports.RefusedReborn:
 		return true
 	}
-	l.mu.Lock()
-	l.plan.StopDenied(s, l.now())
-	l.mu.Unlock()
+	o.mu.Lock()
+	o.planner.StopDenied(s, o.now())
+	o.mu.Unlock()
 	return true
 }
 
 // worker returns the registry data of a worker that is in use.
-func (l *Lead) worker(id string) (sched.WorkerInfo, bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.plan.Worker(id)
+func (o *Owner) worker(id string) (sched.WorkerInfo, bool) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return o.planner.Worker(id)
 }
 
 // heartbeatLoop sends heartbeats to a worker until it is no longer in use.
-func (l *Lead) holdLoop(ctx context.Context, id string) {
-	pause := holdPause
+func (o *Owner) heartbeatLoop(ctx context.Context, id string) {
+	pause := heartbeatRetryPause
 	for ctx.Err() == nil {
-		info, ok := l.worker(id)
+		info, ok := o.worker(id)
 		if !ok {
 			return
 		}
-		ends, err := l.hold(ctx, info)
+		ends, err := o.heartbeat(ctx, info)
 		switch {
 		case err != nil:
 			clock.Sleep(ctx, pause)
-			pause = min(2*pause, maxHoldPause)
+			pause = min(2*pause, maxHeartbeatRetryPause)
 			continue
 		case ends:
-			l.awaitStored(ctx, id)
+			o.awaitEndsStored(ctx, id)
 		}
-		pause = holdPause
+		pause = heartbeatRetryPause
 	}
 }
 
 // awaitEndsStored waits until the ended runs that a worker has reported are
 // stored. An earlier heartbeat would return the same ended runs immediately.
-func (l *Lead) awaitStored(ctx context.Context, id string) {
-	t := time.NewTimer(storedTimeout)
+func (o *Owner) awaitEndsStored(ctx context.Context, id string) {
+	t := time.NewTimer(endsStoredTimeout)
 	defer t.Stop()
 	for {
-		l.mu.Lock()
-		ch, stored := l.stored, l.plan.Applied(id) <= l.plan.Seen(id)
-		l.mu.Unlock()
+		o.mu.Lock()
+		ch, stored := o.stored, o.planner.Applied(id) <= o.planner.Seen(id)
+		o.mu.Unlock()
 		if stored {
 			return
 		}
@@ -231,157 +231,157 @@
 // heartbeat sends one heartbeat to a worker, which renews its lease and returns
 // its running tasks and ended runs. It reports whether some of those ends are not
 // stored yet.
-func (l *Lead) hold(ctx context.Context, info sched.WorkerInfo) (ends bool, err error) {
-	l.mu.Lock()
-	_, known := l.clocks[info.ID]
+func (o *Owner) heartbeat(ctx context.Context, info sched.WorkerInfo) (ends bool, err error) {
+	o.mu.Lock()
+	_, known := o.workerClocks[info.ID]
 	req := ports.HoldRequest{
-		Peer: ports.Peer{ID: info.ID, Addr: info.Addr}, Token: l.cfg.Claim.Epoch, LeaseEnd: l.leaseEnd(info.ID),
-		Seen: l.plan.Seen(info.ID),
+		Peer: ports.Peer{ID: info.ID, Addr: info.Addr}, Token: o.cfg.Claim.Epoch, LeaseEnd: o.leaseEnd(info.ID),
+		Seen: o.planner.Seen(info.ID),
 	}
-	l.mu.Unlock()
+	o.mu.Unlock()
 	if known {
-		req.Wait = holdWait
+		req.Wait = heartbeatWait
 	}
-	sent := l.now()
-	ctx, cancel := context.WithTimeout(ctx, req.Wait+holdTimeout)
+	sent := o.now()
+	ctx, cancel := context.WithTimeout(ctx, req.Wait+heartbeatTimeout)
 	defer cancel()
-	h, err := l.cfg.Workers.Hold(ctx, req)
-	at := l.cfg.Clock.Now()
-	l.cfg.Metrics.hold(err)
-	l.mu.Lock()
-	defer l.mu.Unlock()
+	h, err := o.cfg.Workers.Hold(ctx, req)
+	readAt := o.cfg.Clock.Now()
+	o.cfg.Metrics.countHeartbeat(err)
+	o.mu.Lock()
+	defer o.mu.Unlock()
 	if err != nil {
-		if l.ctx.Err() == nil { // otherwise the call was canceled by this host
-			l.holdFailed(info, err)
+		if o.ctx.Err() == nil { // otherwise the call was canceled by this host
+			o.heartbeatFailed(info, err)
 		}
 		return false, err
 	}
-	l.clocks[info.ID] = workerClock{clock: h.Clock, at: at, born: h.Born}
-	before := l.plan.Applied(info.ID)
-	l.plan.Listed(info.ID, sched.Lists{SentMs: sent.Ms, Born: h.Born, Running: h.Running, Finished: h.Finished}, l.now())
-	l.logEnds(info.ID, before, h.Finished)
-	l.takeStops()
-	ends = l.plan.Applied(info.ID) > l.plan.Seen(info.ID)
+	o.workerClocks[info.ID] = workerClock{ms: h.Clock, readAt: readAt, incarnation: h.Born}
+	before := o.planner.Applied(info.ID)
+	o.planner.Listed(info.ID, sched.Lists{SentMs: sent.Ms, Born: h.Born, Running: h.Running, Finished: h.Finished}, o.now())
+	o.logEnds(info.ID, before, h.Finished)
+	o.dispatchStops()
+	ends = o.planner.Applied(info.ID) > o.planner.Seen(info.ID)
 	if ends || !known {
-		l.wake()
+		o.wakePlanner()
 	}
 	return ends, nil
 }
 
 // logEnds logs each newly reported end of a run.
-func (l *Lead) logEnds(worker string, before int64, finished []sched.Finished) {
+func (o *Owner) logEnds(worker string, before int64, finished []sched.Finished) {
 	for _, f := range finished {
 		if f.N > before {
-			l.log.Info("end", "task", f.Task, "run", f.Run, "how", f.How, "worker", worker)
+			o.log.Info("end", "task", f.Task, "run", f.Run, "how", f.How, "worker", worker)
 		}
 	}
 }
 
 // heartbeatFailed handles a failed heartbeat. The caller holds o.mu.
-func (l *Lead) holdFailed(info sched.WorkerInfo, err error) {
-	if l.plan.Unanswered(info.ID) {
-		l.log.Info("worker does not answer", "worker", info.ID, "err", err.Error())
+func (o *Owner) heartbeatFailed(info sched.WorkerInfo, err error) {
+	if o.planner.Unanswered(info.ID) {
+		o.log.Info("worker does not answer", "worker", info.ID, "err", err.Error())
 	}
-	delete(l.clocks, info.ID)
-	l.checkFence(err)
+	delete(o.workerClocks, info.ID)
+	o.checkFence(err)
 }
 
 // registryLoop polls the worker registry.
-func (l *Lead) registryLoop() {
+func (o *Owner) registryLoop() {
 	next := int64(-1)
-	for l.ctx.Err() == nil {
+	for o.ctx.Err() == nil {
 		var err error
-		next, err = l.readRegistry(next)
+		next, err = o.readRegistry(next)
 		if err != nil {
-			l.log.V(1).Info("failed to read worker registry", "err", err.Error())
+			o.log.V(1).Info("failed to read worker registry", "err", err.Error())
 		}
-		clock.Sleep(l.ctx, registryEvery)
+		clock.Sleep(o.ctx, registryPollInterval)
 	}
 }
 
 // readRegistry applies the registry records from the offset next on, or the
 // newest record of each worker if next is negative. It returns the next offset.
-func (l *Lead) readRegistry(next int64) (int64, error) {
-	ctx, cancel := context.WithTimeout(l.ctx, appendTimeout)
+func (o *Owner) readRegistry(next int64) (int64, error) {
+	ctx, cancel := context.WithTimeout(o.ctx, appendTimeout)
 	defer cancel()
 	if next < 0 {
-		return l.readAllEntries(ctx)
+		return o.readFullRegistry(ctx)
 	}
-	page, err := l.cfg.Store.Read(ctx, ports.ReadRequest{Topic: l.cfg.Registry, From: next})
+	page, err := o.cfg.Store.Read(ctx, ports.ReadRequest{Topic: o.cfg.WorkerTopic, From: next})
 	var gone *ports.GoneError
 	if errors.As(err, &gone) {
-		return l.readAllEntries(ctx)
+		return o.readFullRegistry(ctx)
 	}
 	if err != nil {
 		return next, err
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
+	o.mu.Lock()
+	defer o.mu.Unlock()
 	for _, r := range page.Records {
-		l.entry(r)
+		o.applyEntry(r)
 		next = r.Offset + 1
 	}
-	l.syncHolds()
+	o.startHeartbeats()
 	return next, nil
 }
 
 // readFullRegistry applies the newest record of each worker and drops the workers
 // without one.
-func (l *Lead) readAllEntries(ctx context.Context) (int64, error) {
-	all, end, err := ports.ReadNewest(ctx, l.cfg.Store, l.cfg.Registry)
+func (o *Owner) readFullRegistry(ctx context.Context) (int64, error) {
+	all, end, err := ports.ReadNewest(ctx, o.cfg.Store, o.cfg.WorkerTopic)
 	if err != nil {
 		return -1, err
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	there := map[string]bool{}
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	present := map[string]bool{}
 	for _, r := range all {
-		there[l.cfg.WorkerID(r.Key)] = true
-		l.entry(r)
+		present[o.cfg.WorkerID(r.Key)] = true
+		o.applyEntry(r)
 	}
-	for _, info := range l.plan.Targets() {
-		if !there[info.ID] {
-			l.plan.DropWorker(info.ID)
+	for _, info := range o.planner.Targets() {
+		if !present[info.ID] {
+			o.planner.DropWorker(info.ID)
 		}
 	}
-	l.syncHolds()
+	o.startHeartbeats()
 	return end, nil
 }
 
 // applyEntry applies one record of the registry. The caller holds o.mu.
-func (l *Lead) entry(r ports.Record) {
+func (o *Owner) applyEntry(r ports.Record) {
 	if r.Key == "" {
 		return
 	}
-	id := l.cfg.WorkerID(r.Key)
+	id := o.cfg.WorkerID(r.Key)
 	if len(r.Value) == 0 {
-		l.log.Info("worker removed from the registry", "worker", id)
-		l.plan.DropWorker(id)
+		o.log.Info("worker removed from the registry", "worker", id)
+		o.planner.DropWorker(id)
 		return
 	}
-	info, err := l.cfg.Parse(r.Key, r.Value)
+	info, err := o.cfg.ParseWorker(r.Key, r.Value)
 	if err != nil {
-		l.log.Info("ignoring invalid worker registry entry", "key", r.Key, "err", err.Error())
+		o.log.Info("ignoring invalid worker registry entry", "key", r.Key, "err", err.Error())
 		return
 	}
-	l.plan.SetWorker(info, l.now())
+	o.planner.SetWorker(info, o.now())
 }
 
 // startHeartbeats starts a heartbeat loop for each worker that is in use and has
 // none. The caller holds o.mu.
-func (l *Lead) syncHolds() {
-	for _, info := range l.plan.Targets() {
-		if l.holds[info.ID] != nil || l.ctx.Err() != nil {
+func (o *Owner) startHeartbeats() {
+	for _, info := range o.planner.Targets() {
+		if o.heartbeats[info.ID] != nil || o.ctx.Err() != nil {
 			continue
 		}
-		ctx, cancel := context.WithCancel(l.ctx)
-		l.holds[info.ID] = cancel
+		ctx, cancel := context.WithCancel(o.ctx)
+		o.heartbeats[info.ID] = cancel
 		go func() {
 			defer cancel()
-			l.holdLoop(ctx, info.ID)
-			l.mu.Lock()
-			delete(l.holds, info.ID)
-			l.mu.Unlock()
+			o.heartbeatLoop(ctx, info.ID)
+			o.mu.Lock()
+			delete(o.heartbeats, info.ID)
+			o.mu.Unlock()
 		}()
 	}
 }
--- a/internal/node/lead/write.go
+++ b/internal/node/lead/write.go
@@ -12,60 +12,60 @@
 
 // planLoop runs the planner after each change. It does not wait for appends, so
 // advice is requested and capacity is reserved while the store is slow.
-func (l *Lead) planLoop() {
-	timer := time.NewTicker(planEvery)
+func (o *Owner) planLoop() {
+	timer := time.NewTicker(planInterval)
 	defer timer.Stop()
 	for {
 		select {
-		case <-l.ctx.Done():
+		case <-o.ctx.Done():
 			return
-		case <-l.kick:
+		case <-o.planWake:
 		case <-timer.C:
 		}
-		l.mu.Lock()
-		due := l.planLocked()
-		l.mu.Unlock()
+		o.mu.Lock()
+		due := o.planLocked()
+		o.mu.Unlock()
 		if due {
-			signal(l.write)
+			notify(o.writeWake)
 		}
-		clock.Sleep(l.ctx, planPause)
+		clock.Sleep(o.ctx, planDebounce)
 	}
 }
 
 // planDebounce batches events that arrive together. It is a tenth of the target
 // start latency of urgent jobs.
-const planPause = 5 * time.Millisecond
+const planDebounce = 5 * time.Millisecond
 
 // planLocked places the tasks that fit and requests advice. It reports whether
 // there is anything to store. The caller holds o.mu.
-func (l *Lead) planLocked() bool {
-	now := l.now()
-	for _, id := range l.plan.Tick(now) {
-		l.log.Info("worker lost", "worker", id)
+func (o *Owner) planLocked() bool {
+	now := o.now()
+	for _, id := range o.planner.Tick(now) {
+		o.log.Info("worker lost", "worker", id)
 	}
-	plan := l.plan.Plan(l.cfg.Advisers, now)
-	l.starts = append(l.starts, plan.Starts...)
+	plan := o.planner.Plan(o.cfg.AdviceClient, now)
+	o.plannedStarts = append(o.plannedStarts, plan.Starts...)
 	for _, want := range plan.Wants {
-		go l.ask(want)
+		go o.requestAdvice(want)
 	}
-	l.explainLate(now)
-	l.takeStops()
-	return l.plan.Dirty() || len(l.submits) > 0 || len(l.cancels) > 0
+	o.logLate(now)
+	o.dispatchStops()
+	return o.planner.Dirty() || len(o.submissions) > 0 || len(o.cancellations) > 0
 }
 
 // writeLoop runs a cycle on each wake-up and at least every idleAppendInterval.
-func (l *Lead) writeLoop() {
-	defer l.refuseAll()
-	timer := time.NewTicker(idleEvery)
+func (o *Owner) writeLoop() {
+	defer o.rejectAll()
+	timer := time.NewTicker(idleAppendInterval)
 	defer timer.Stop()
 	for {
 		select {
-		case <-l.ctx.Done():
+		case <-o.ctx.Done():
 			return
-		case <-l.write:
+		case <-o.writeWake:
 		case <-timer.C:
 		}
-		if !l.cycle() {
+		if !o.runCycle() {
 			return
 		}
 	}
@@ -73,164 +73,164 @@
 
 // runCycle stores the pending records, then responds to callers and sends starts.
 // It returns false when ownership has ended.
-func (l *Lead) cycle() bool {
-	w, err := l.prepare()
+func (o *Owner) runCycle() bool {
+	w, err := o.prepare()
 	for err == nil {
-		if len(w.batch.Keys) > 0 && !l.store(w.batch) {
-			w.doubt()
+		if len(w.batch.Keys) > 0 && !o.appendBatch(w.batch) {
+			w.failUnconfirmed()
 			return false
 		}
-		l.mu.Lock()
-		l.plan.Stored(w.batch)
+		o.mu.Lock()
+		o.planner.Stored(w.batch)
 		if w.batch.Complete {
-			l.finish(w)
-			l.mu.Unlock()
+			o.releaseStarts(w)
+			o.mu.Unlock()
 			break
 		}
-		w.batch, err = l.plan.TakeDirty(l.now())
-		l.mu.Unlock()
+		w.batch, err = o.planner.TakeDirty(o.now())
+		o.mu.Unlock()
 	}
 	if err != nil {
-		l.log.Error(err, "failed to encode records")
-		l.Stop("failed to encode records")
-		w.doubt()
+		o.log.Error(err, "failed to encode records")
+		o.Stop("failed to encode records")
+		w.failUnconfirmed()
 		return false
 	}
-	l.answer(w)
+	o.respond(w)
 	return true
 }
 
 // cycleWork is the work of one cycle.
-type work struct {
-	batch   *sched.Batch
-	submits []*submission
-	cancels []*cancellation
-	starts  []sched.Start          // intents are in the batch
-	send    []sched.Start          // released for sending
-	unknown map[*cancellation]bool // the job does not exist
+type cycleWork struct {
+	batch          *sched.Batch
+	submissions    []*submission
+	cancellations  []*cancellation
+	plannedStarts  []sched.Start          // intents are in the batch
+	releasedStarts []sched.Start          // released for sending
+	unknownJob     map[*cancellation]bool // the job does not exist
 }
 
 // failUnconfirmed fails the requests whose append was not confirmed when ownership
 // ended.
-func (w *work) doubt() {
-	for _, s := range w.submits {
-		s.done <- errDoubt()
+func (w *cycleWork) failUnconfirmed() {
+	for _, s := range w.submissions {
+		s.done <- errUnconfirmed()
 	}
-	for _, c := range w.cancels {
-		c.done <- errDoubt()
+	for _, c := range w.cancellations {
+		c.done <- errUnconfirmed()
 	}
 }
 
 // prepare takes the queued requests, runs the planner and builds the first batch.
-func (l *Lead) prepare() (w *work, err error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	now := l.now()
-	w = &work{submits: l.submits, cancels: l.cancels, unknown: map[*cancellation]bool{}}
-	l.submits, l.cancels = nil, nil
-	for _, s := range w.submits {
-		l.plan.Accept(s.spec, now)
+func (o *Owner) prepare() (w *cycleWork, err error) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	now := o.now()
+	w = &cycleWork{submissions: o.submissions, cancellations: o.cancellations, unknownJob: map[*cancellation]bool{}}
+	o.submissions, o.cancellations = nil, nil
+	for _, s := range w.submissions {
+		o.planner.Accept(s.spec, now)
 	}
-	for _, c := range w.cancels {
-		w.unknown[c] = !l.plan.Cancel(c.id, now)
+	for _, c := range w.cancellations {
+		w.unknownJob[c] = !o.planner.Cancel(c.id, now)
 	}
-	l.planLocked()
-	w.starts, l.starts = l.starts, nil
-	w.batch, err = l.plan.TakeDirty(now)
-	if err == nil && w.batch.Empty() && l.cfg.Clock.Now().Sub(l.confirmed) > idleEvery {
-		err = l.addSign(w.batch)
+	o.planLocked()
+	w.plannedStarts, o.plannedStarts = o.plannedStarts, nil
+	w.batch, err = o.planner.TakeDirty(now)
+	if err == nil && w.batch.Empty() && o.cfg.Clock.Now().Sub(o.lastConfirmed) > idleAppendInterval {
+		err = o.addClaim(w.batch)
 	}
 	return w, err
 }
 
 // Limits of the log lines about steps that have waited for long.
 const (
-	lateAfterMs  = 3_000
-	explainEvery = 2 * time.Second
-	mostExplain  = 10
+	lateAfterMs     = 3_000
+	lateLogInterval = 2 * time.Second
+	maxLateLines    = 10
 )
 
 // logLate logs why steps that have waited for long are not placed. The caller
 // holds o.mu.
-func (l *Lead) explainLate(now sched.Instant) {
-	if t := l.cfg.Clock.Now(); t.Sub(l.explained) < explainEvery {
+func (o *Owner) logLate(now sched.Instant) {
+	if t := o.cfg.Clock.Now(); t.Sub(o.lastLateLog) < lateLogInterval {
 		return
 	} else {
-		l.explained = t
+		o.lastLateLog = t
 	}
-	for _, e := range l.plan.Late(lateAfterMs, mostExplain, now) {
-		l.log.Info("still waiting", "step", e.Step, "waitMs", e.WaitMs, "idle", e.Idle, "unusable", e.Unusable, "unasked", e.Unasked,
+	for _, e := range o.planner.Late(lateAfterMs, maxLateLines, now) {
+		o.log.Info("still waiting", "step", e.Step, "waitMs", e.WaitMs, "idle", e.Idle, "unusable", e.Unusable, "unasked", e.Unasked,
 			"denied", e.Denied, "noRoom", e.NoRoom, "noTicket", e.NoTicket, "slots", e.Slots, "overLimit", e.OverLimit, "asked", e.Asked, "kept", e.Kept)
 	}
 }
 
 // addClaim adds the owner's claim record, which shows that the owner is alive.
-func (l *Lead) addSign(b *sched.Batch) error {
-	key, value, err := sched.ClaimRecord(l.cfg.Claim)
+func (o *Owner) addClaim(b *sched.Batch) error {
+	key, value, err := sched.ClaimRecord(o.cfg.Claim)
 	b.Keys, b.Values = append(b.Keys, key), append(b.Values, value)
 	return err
 }
 
 // releaseStarts releases the starts whose intents are stored. The caller holds
 // o.mu.
-func (l *Lead) finish(w *work) {
-	w.send = l.plan.Release(w.starts, l.now())
+func (o *Owner) releaseStarts(w *cycleWork) {
+	w.releasedStarts = o.planner.Release(w.plannedStarts, o.now())
 	if len(w.batch.Keys) > 0 {
-		close(l.stored)
-		l.stored = make(chan struct{})
+		close(o.stored)
+		o.stored = make(chan struct{})
 	}
-	l.takeStops()
+	o.dispatchStops()
 }
 
 // respond responds to the callers of a stored cycle and sends its starts.
-func (l *Lead) answer(w *work) {
-	for _, s := range w.submits {
-		l.log.Info("accepted job", "job", s.spec.ID, "queue", s.spec.Queue, "team", s.spec.Team, "steps", len(s.spec.Steps))
+func (o *Owner) respond(w *cycleWork) {
+	for _, s := range w.submissions {
+		o.log.Info("accepted job", "job", s.spec.ID, "queue", s.spec.Queue, "team", s.spec.Team, "steps", len(s.spec.Steps))
 		s.done <- nil
 	}
-	for _, c := range w.cancels {
-		if w.unknown[c] {
+	for _, c := range w.cancellations {
+		if w.unknownJob[c] {
 			c.done <- fault.New(fault.NotFound, fault.NotRun, "no job %q", c.id)
 			continue
 		}
-		l.log.Info("cancelled job", "job", c.id)
+		o.log.Info("cancelled job", "job", c.id)
 		c.done <- nil
 	}
-	for _, s := range w.send {
-		go l.send(s)
+	for _, s := range w.releasedStarts {
+		go o.sendStart(s)
 	}
 }
 
 // appendBatch appends a batch and retries until the outcome is known. It returns
 // false when ownership has ended.
-func (l *Lead) store(b *sched.Batch) bool {
-	req := ports.AppendRequest{Topic: l.cfg.Topic, Writer: Writer, Epoch: l.cfg.Claim.Epoch, Seq: l.seq}
+func (o *Owner) appendBatch(b *sched.Batch) bool {
+	req := ports.AppendRequest{Topic: o.cfg.JobTopic, Writer: Writer, Epoch: o.cfg.Claim.Epoch, Seq: o.nextSeq}
 	for i, key := range b.Keys {
 		req.Records = append(req.Records, ports.Record{Key: key, Value: b.Values[i]})
 	}
 	for tries := 0; ; tries++ {
-		sent := l.cfg.Clock.Now()
-		ctx, cancel := context.WithTimeout(l.ctx, appendTimeout)
-		_, err := l.cfg.Store.Append(ctx, req)
+		sent := o.cfg.Clock.Now()
+		ctx, cancel := context.WithTimeout(o.ctx, appendTimeout)
+		_, err := o.cfg.Store.Append(ctx, req)
 		cancel()
 		if err == nil {
-			l.noteSpeed(l.cfg.Clock.Now().Sub(sent), tries)
-			l.mu.Lock()
-			l.stuckFrom = time.Time{}
-			l.confirmed = sent
-			l.mu.Unlock()
-			l.seq++
+			o.recordLatency(o.cfg.Clock.Now().Sub(sent), tries)
+			o.mu.Lock()
+			o.unconfirmedSince = time.Time{}
+			o.lastConfirmed = sent
+			o.mu.Unlock()
+			o.nextSeq++
 			return true
 		}
-		if l.ctx.Err() != nil {
+		if o.ctx.Err() != nil {
 			return false
 		}
 		if reason := ports.ReasonOf(err); reason == ports.RefusedFence || reason == ports.RefusedSequence {
-			l.Stop("append refused, another owner is writing: " + string(reason))
+			o.Stop("append refused, another owner is writing: " + string(reason))
 			return false
 		}
-		l.noteStuck(sent, err, tries)
-		time.Sleep(busyPause)
+		o.recordFailure(sent, err, tries)
+		time.Sleep(appendRetryPause)
 	}
 }
 
@@ -239,69 +239,69 @@
 
 // recordLatency records the latency of an append and logs when the store becomes
 // slow or fast again.
-func (l *Lead) noteSpeed(d time.Duration, tries int) {
-	l.cfg.Metrics.append(d, tries)
-	if slow := d > slowAppend; slow != l.slow {
-		l.slow = slow
-		l.log.Info("store speed", "slow", slow, "tookMs", d.Milliseconds(), "tries", tries, "seq", l.seq)
+func (o *Owner) recordLatency(d time.Duration, tries int) {
+	o.cfg.Metrics.observeAppend(d, tries)
+	if storeSlow := d > slowAppend; storeSlow != o.storeSlow {
+		o.storeSlow = storeSlow
+		o.log.Info("store speed", "slow", storeSlow, "tookMs", d.Milliseconds(), "tries", tries, "seq", o.nextSeq)
 	}
 }
 
 // recordFailure records an append attempt that failed.
-func (l *Lead) noteStuck(sent time.Time, err error, tries int) {
-	l.mu.Lock()
-	if l.stuckFrom.IsZero() {
-		l.stuckFrom = sent
+func (o *Owner) recordFailure(sent time.Time, err error, tries int) {
+	o.mu.Lock()
+	if o.unconfirmedSince.IsZero() {
+		o.unconfirmedSince = sent
 	}
-	l.takeStops()
-	l.mu.Unlock()
+	o.dispatchStops()
+	o.mu.Unlock()
 	if tries == 0 {
-		l.log.Info("append not confirmed", "err", err.Error(), "seq", l.seq)
+		o.log.Info("append not confirmed", "err", err.Error(), "seq", o.nextSeq)
 	}
-	l.refuseLate()
+	o.rejectDuringOutage()
 }
 
 // rejectDuringOutage rejects the queued submissions once an append has been
 // unconfirmed for storeOutageAfter. None of them has been sent to the store.
-func (l *Lead) refuseLate() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.cfg.Clock.Now().Sub(l.stuckFrom) < storeStuck {
+func (o *Owner) rejectDuringOutage() {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	if o.cfg.Clock.Now().Sub(o.unconfirmedSince) < storeOutageAfter {
 		return
 	}
-	for _, s := range l.submits {
-		s.done <- l.refusal(s.spec.ID, fault.New(fault.Unavailable, fault.NotRun, "the store does not answer").WithRetryAfter(retryAfterOutage))
+	for _, s := range o.submissions {
+		s.done <- o.rejection(s.spec.ID, fault.New(fault.Unavailable, fault.NotRun, "the store does not answer").WithRetryAfter(outageRetryAfterSeconds))
 	}
-	l.submits = nil
+	o.submissions = nil
 }
 
 // rejectAll rejects the queued requests when ownership ends.
-func (l *Lead) refuseAll() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for _, s := range l.submits {
-		s.done <- l.refusal(s.spec.ID, errStopped())
+func (o *Owner) rejectAll() {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	for _, s := range o.submissions {
+		s.done <- o.rejection(s.spec.ID, errNotOwner())
 	}
-	for _, c := range l.cancels {
-		c.done <- errStopped()
+	for _, c := range o.cancellations {
+		c.done <- errNotOwner()
 	}
-	l.submits, l.cancels = nil, nil
+	o.submissions, o.cancellations = nil, nil
 }
 
 // requestAdvice requests advice and passes the answer to the planner.
-func (l *Lead) ask(want sched.Want) {
-	ctx, cancel := context.WithTimeout(l.ctx, adviceTimeout+time.Duration(2*want.CostMs)*time.Millisecond)
+func (o *Owner) requestAdvice(want sched.Want) {
+	ctx, cancel := context.WithTimeout(o.ctx, adviceTimeout+time.Duration(2*want.CostMs)*time.Millisecond)
 	defer cancel()
-	sent := l.cfg.Clock.Now()
-	a, age, err := l.cfg.Advisers.Advise(ctx, want)
-	now := l.now()
-	l.mu.Lock()
-	l.plan.Advised(want, a.Tickets, err == nil, now.Ms-age.Milliseconds(), now)
-	l.mu.Unlock()
-	l.cfg.Metrics.advice(err == nil)
-	l.log.Info("advice", "step", want.Step, "asked", len(want.Workers), "allowed", len(a.Tickets), "desk", want.Desk,
-		"costMs", int(want.CostMs), "tookMs", l.cfg.Clock.Now().Sub(sent).Milliseconds(), "err", errText(err))
-	l.wake()
+	sent := o.cfg.Clock.Now()
+	a, age, err := o.cfg.AdviceClient.Advise(ctx, want)
+	now := o.now()
+	o.mu.Lock()
+	o.planner.Advised(want, a.Tickets, err == nil, now.Ms-age.Milliseconds(), now)
+	o.mu.Unlock()
+	o.cfg.Metrics.countAdvice(err == nil)
+	o.log.Info("advice", "step", want.Step, "asked", len(want.Workers), "allowed", len(a.Tickets), "desk", want.Desk,
+		"costMs", int(want.CostMs), "tookMs", o.cfg.Clock.Now().Sub(sent).Milliseconds(), "err", errText(err))
+	o.wakePlanner()
 }
 
 // adviceTimeout is added to twice the expected response time, because the host
