--- a/internal/node/gate/claim.go
+++ b/internal/node/gate/claim.go
@@ -239,21 +239,21 @@
 func (h *Host) tryClaim(ctx context.Context) {
 	startedAt := h.clock.Now()
 	h.mu.Lock()
-	known := h.owner
+	knownOwner := h.owner
 	h.mu.Unlock()
 	if err := h.syncReplica(ctx); err != nil {
 		h.log.V(1).Info("no claim, failed to sync the replica", "err", err.Error())
 		return
 	}
 	h.mu.Lock()
-	if h.owner.epoch != known.epoch && h.owner.addr != h.addr || h.replica.inUse {
+	if h.owner.epoch != knownOwner.epoch && h.owner.addr != h.addr || h.replica.inUse {
 		h.mu.Unlock() // the records hold a claim of another host
 		return
 	}
 	r := h.replica
 	r.inUse = true
 	h.mu.Unlock()
-	c := sched.Claim{Epoch: nextEpoch(max(r.state.Claim.Epoch, known.epoch)), Host: h.cfg.Host, Addr: h.addr}
+	c := sched.Claim{Epoch: nextEpoch(max(r.state.Claim.Epoch, knownOwner.epoch)), Host: h.cfg.Host, Addr: h.addr}
 	offset, err := h.appendClaim(ctx, c)
 	if err == nil {
 		err = h.readRecords(ctx, r, offset)
@@ -261,7 +261,7 @@
 	if err == nil && r.state.Claim.Epoch > c.Epoch {
 		err = fault.New(fault.Conflict, fault.NotRun, "host %q has claimed epoch %d", r.state.Claim.Host, r.state.Claim.Epoch)
 	}
-	h.log.Info("claim", "epoch", c.Epoch, "offset", offset, "silentMs", startedAt.Sub(known.lastContact).Milliseconds(),
+	h.log.Info("claim", "epoch", c.Epoch, "offset", offset, "silentMs", startedAt.Sub(knownOwner.lastContact).Milliseconds(),
 		"tookMs", h.clock.Now().Sub(startedAt).Milliseconds(), "ok", err == nil)
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/node/gate/peers_test.go
+++ b/internal/node/gate/peers_test.go
@@ -97,21 +97,21 @@
 		}
 		return list
 	}
-	var copies []string
+	var standbys []string
 	for _, p := range peers {
 		if p.addr != "o" && p.addr != "gone" && isStandby(p, "o", others(p.addr), false, now) {
-			copies = append(copies, p.addr)
+			standbys = append(standbys, p.addr)
 		}
 	}
-	assert.DeepEqual(t, copies, []string{"a", "b", "c"})
-	alone := []peer{{addr: "a", lastContact: now.Add(-time.Minute), power: 800}}
-	assert.Assert(t, isStandby(peer{addr: "s1", power: 192}, "a", alone, false, now), "a host without contact to any peer")
-	var unheard []peer
+	assert.DeepEqual(t, standbys, []string{"a", "b", "c"})
+	deadPeers := []peer{{addr: "a", lastContact: now.Add(-time.Minute), power: 800}}
+	assert.Assert(t, isStandby(peer{addr: "s1", power: 192}, "a", deadPeers, false, now), "a host without contact to any peer")
+	var silentPeers []peer
 	for _, a := range []string{"a", "b", "c"} {
-		unheard = append(unheard, peer{addr: a, power: 800})
+		silentPeers = append(silentPeers, peer{addr: a, power: 800})
 	}
-	assert.Assert(t, !isStandby(peer{addr: "s1", power: 192}, "", unheard, true, now), "a host that has just started counts peers without a heartbeat")
-	assert.Assert(t, isStandby(peer{addr: "s1", power: 192}, "", unheard, false, now), "peers that have not answered do not count")
+	assert.Assert(t, !isStandby(peer{addr: "s1", power: 192}, "", silentPeers, true, now), "a host that has just started counts peers without a heartbeat")
+	assert.Assert(t, isStandby(peer{addr: "s1", power: 192}, "", silentPeers, false, now), "peers that have not answered do not count")
 }
 
 // TestPingSilentPeers checks that hosts that have been silent for long are pinged
@@ -123,14 +123,14 @@
 	h := &Host{clock: c, peers: map[string]*peer{
 		"new": {addr: "new"}, "live": {addr: "live", lastContact: now}, "gone": {addr: "gone", lastContact: now.Add(-2 * silentPeerAge)},
 	}}
-	asked := map[string]int{}
+	pings := map[string]int{}
 	const rounds = 4 * pingSilentRounds
 	for round := range rounds {
 		for _, addr := range h.pingAddrs(round) {
-			asked[addr]++
+			pings[addr]++
 		}
 	}
-	assert.DeepEqual(t, asked, map[string]int{"new": rounds, "live": rounds, "gone": 4})
+	assert.DeepEqual(t, pings, map[string]int{"new": rounds, "live": rounds, "gone": 4})
 }
 
 // TestClaimAfterPowerLoss guards against a delayed first claim after a power loss of
--- a/internal/node/gate/relay_test.go
+++ b/internal/node/gate/relay_test.go
@@ -48,7 +48,7 @@
 }
 
 // TestOutageEnds checks that the direct path is used again as soon as an outage that
-// affected all hosts ends. Hosts skipped it for up to 3.2 s more.
+// affected all hosts ends. The backoff delayed this by up to 3.2 s.
 func TestOutageEnds(t *testing.T) {
 	c := clock.NewManual(time.Unix(1000, 0))
 	h := &Host{clock: c, log: logr.Discard(), peers: map[string]*peer{"b": {addr: "b", lastContact: c.Now()}}}
--- a/internal/node/gate/site.go
+++ b/internal/node/gate/site.go
@@ -32,7 +32,7 @@
 
 // Timeouts and intervals of reading the operator topic.
 const (
-	siteLongPoll   = 2 * time.Second // long poll
+	siteLongPoll   = 2 * time.Second // maximum wait of a read for new records
 	siteTimeout    = time.Second     // in addition to the wait
 	siteRetryPause = 200 * time.Millisecond
 )
@@ -153,7 +153,8 @@
 	return end, nil
 }
 
-// dropMissing drops the keys that are not in all, the newest record of each key.
+// dropMissing drops the keys that are not in all, the newest record of each key at
+// offset end. It does nothing if the topic has been read beyond end.
 func (s *siteState) dropMissing(all []ports.Record, end int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/node/lead/metrics.go
+++ b/internal/node/lead/metrics.go
@@ -40,12 +40,12 @@
 	return m
 }
 
-func (m *Metrics) observeAppend(d time.Duration, tries int) {
+func (m *Metrics) observeAppend(d time.Duration, retries int) {
 	if m == nil {
 		return
 	}
 	repeated := "no"
-	if tries > 0 {
+	if retries > 0 {
 		repeated = "yes"
 	}
 	m.appends.WithLabelValues(repeated).Observe(d.Seconds())
--- a/internal/node/lead/order.go
+++ b/internal/node/lead/order.go
@@ -133,7 +133,8 @@
 	}
 }
 
-// sendStop retries a stop until the worker confirms it, refuses it or is removed.
+// sendStop retries a stop until the worker confirms or refuses it, or is no longer
+// in use.
 func (o *Owner) sendStop(s sched.Stop) {
 	defer func() {
 		o.mu.Lock()
--- a/internal/node/lead/play_test.go
+++ b/internal/node/lead/play_test.go
@@ -259,12 +259,12 @@
 			delete(o.clocks, info.ID)
 			continue
 		}
-		born := h.Born
+		incarnation := h.Born
 		if p.mut == noIncarnationCheck {
-			born = 1
+			incarnation = 1
 		}
 		o.clocks[info.ID] = [3]int64{h.Clock, p.nowMs, h.Born}
-		o.planner.Listed(info.ID, sched.Lists{SentMs: p.nowMs, Born: born, Running: h.Running, Finished: h.Finished}, p.now())
+		o.planner.Listed(info.ID, sched.Lists{SentMs: p.nowMs, Born: incarnation, Running: h.Running, Finished: h.Finished}, p.now())
 	}
 }
 
--- a/internal/node/lead/write.go
+++ b/internal/node/lead/write.go
@@ -239,11 +239,11 @@
 
 // recordLatency records the latency of an append and logs when the store becomes
 // slow or fast again.
-func (o *Owner) recordLatency(d time.Duration, tries int) {
-	o.cfg.Metrics.observeAppend(d, tries)
+func (o *Owner) recordLatency(d time.Duration, retries int) {
+	o.cfg.Metrics.observeAppend(d, retries)
 	if storeSlow := d > slowAppend; storeSlow != o.storeSlow {
 		o.storeSlow = storeSlow
-		o.log.Info("store speed", "slow", storeSlow, "tookMs", d.Milliseconds(), "tries", tries, "seq", o.nextSeq)
+		o.log.Info("store speed", "slow", storeSlow, "tookMs", d.Milliseconds(), "tries", retries, "seq", o.nextSeq)
 	}
 }
 
