--- a/internal/node/gate/front.go
+++ b/internal/node/gate/front.go
@@ -13,23 +13,23 @@
 	"lagooncourse/internal/base/httpd"
 )
 
-// Bounds of a caller's request.
+// Timeouts and limits of a client request.
 const (
-	defaultDeadline = 3 * time.Second
-	answerMargin    = 300 * time.Millisecond  // for the answer to reach the caller before its deadline
-	ownerWait       = 1500 * time.Millisecond // an ordinary takeover takes less
-	forwardTimeout  = 1200 * time.Millisecond // of one forwarded call
-	forwardPause    = 50 * time.Millisecond
-	defaultBody     = 256 << 10
-	retryTakeover   = 1 // seconds
+	defaultDeadline    = 3 * time.Second
+	responseMargin     = 300 * time.Millisecond  // for the response to reach the client before its deadline
+	ownerWait          = 1500 * time.Millisecond // longer than a normal takeover
+	forwardTimeout     = 1200 * time.Millisecond // of one forwarded call
+	forwardPause       = 50 * time.Millisecond
+	defaultBodyLimit   = 256 << 10 // bytes
+	takeoverRetryAfter = 1         // Retry-After in seconds
 )
 
-// serveFront answers a caller.
-func (h *Host) serveFront(w http.ResponseWriter, r *http.Request) {
+// serveAPI serves a client request.
+func (h *Host) serveAPI(w http.ResponseWriter, r *http.Request) {
 	h.inFlight.Add(1)
 	defer h.inFlight.Add(-1)
-	began := h.clock.Now()
-	c, err := h.call(r)
+	startedAt := h.clock.Now()
+	c, err := h.parseCall(r)
 	var a callAnswer
 	if err == nil {
 		a, err = h.dispatch(r.Context(), c, h.deadline(r))
@@ -38,7 +38,7 @@
 		w.Header().Set("Connection", "close")
 	}
 	status := h.reply(w, c, a, err)
-	h.metrics.request(c.Kind, status, h.clock.Now().Sub(began))
+	h.metrics.request(c.Kind, status, h.clock.Now().Sub(startedAt))
 	if err != nil && c.Kind != callStatus && c.Kind != callPending {
 		h.log.Info("refused", "job", c.ID, "status", status, "err", err.Error(), "site", c.SiteNext)
 	}
@@ -50,7 +50,7 @@
 	return h.leaving
 }
 
-// deadline returns how long the caller waits.
+// deadline returns how long the client waits for the response.
 func (h *Host) deadline(r *http.Request) time.Duration {
 	if d := h.cfg.Codec.Deadline(r.Header); d > 0 {
 		return d
@@ -58,10 +58,10 @@
 	return defaultDeadline
 }
 
-// call checks a request and says what it wants.
-func (h *Host) call(r *http.Request) (c callMsg, err error) {
+// parseCall validates a request and converts it to a call to the owner.
+func (h *Host) parseCall(r *http.Request) (c callMsg, err error) {
 	if !h.site.ready() {
-		return c, fault.New(fault.Unavailable, fault.NotRun, "no configuration is known yet").WithRetryAfter(retryTakeover)
+		return c, fault.New(fault.Unavailable, fault.NotRun, "no configuration is known yet").WithRetryAfter(takeoverRetryAfter)
 	}
 	c.SiteNext = h.site.offset()
 	q, ok := h.site.route(r.Host, r.URL.Path)
@@ -88,25 +88,25 @@
 		c.Kind = callCancel
 	case r.Method == http.MethodPost:
 		c.Kind = callSubmit
-		return h.submission(r, c, team)
+		return h.parseSubmission(r, c, team)
 	default:
 		return c, fault.Field("method", r.Method, "must be GET, POST or DELETE")
 	}
 	return c, nil
 }
 
-// submission reads the body of a job.
-func (h *Host) submission(r *http.Request, c callMsg, team string) (callMsg, error) {
+// parseSubmission reads and decodes the body of a job submission.
+func (h *Host) parseSubmission(r *http.Request, c callMsg, team string) (callMsg, error) {
 	limit := h.site.limits().BodyBytes
 	if limit <= 0 {
-		limit = defaultBody
+		limit = defaultBodyLimit
 	}
 	body, err := io.ReadAll(io.LimitReader(r.Body, limit+1))
 	if err != nil {
-		return c, fault.Field("body", "", "not readable: %v", err)
+		return c, fault.Field("body", "", "failed to read: %v", err)
 	}
 	if int64(len(body)) > limit {
-		return c, fault.New(fault.TooLarge, fault.NotRun, "a body has at most %d bytes", limit)
+		return c, fault.New(fault.TooLarge, fault.NotRun, "the body exceeds the limit of %d bytes", limit)
 	}
 	c.Spec, err = h.cfg.Codec.Job(c.ID, body)
 	if err != nil {
@@ -116,31 +116,32 @@
 	return c, nil
 }
 
-// dispatch lets the owner answer a call, wherever it is. All calls can be
-// repeated: a submission carries the job's id. A call that may have reached an
-// owner without an answer ends as unknown, never as not run.
+// dispatch sends a call to the owner, on this host or another, and retries it
+// while the owner is unavailable. All calls are idempotent: a submission carries
+// the job ID. If any try may have reached an owner, the call fails with outcome
+// Unknown, never NotRun.
 func (h *Host) dispatch(ctx context.Context, c callMsg, wait time.Duration) (a callAnswer, err error) {
-	began := h.clock.Now()
-	ctx, cancel := context.WithTimeout(ctx, max(wait-answerMargin, answerMargin))
+	startedAt := h.clock.Now()
+	ctx, cancel := context.WithTimeout(ctx, max(wait-responseMargin, responseMargin))
 	defer cancel()
 	unknown := false
 	for {
-		a, err = h.once(ctx, c)
+		a, err = h.tryOnce(ctx, c)
 		e := fault.From(err)
 		if err == nil || !retryable(e) {
 			return a, err
 		}
 		unknown = unknown || e.Ran != fault.NotRun
 		h.mu.Lock()
-		changed := h.changed
+		ownerCh := h.ownerCh
 		h.mu.Unlock()
-		if e.RetryAfter > 0 && e.Code != fault.NotOwner || h.clock.Now().Sub(began) > ownerWait || ctx.Err() != nil {
+		if e.RetryAfter > 0 && e.Code != fault.NotOwner || h.clock.Now().Sub(startedAt) > ownerWait || ctx.Err() != nil {
 			break
 		}
 		t := time.NewTimer(forwardPause)
 		select {
 		case <-ctx.Done():
-		case <-changed:
+		case <-ownerCh:
 		case <-t.C:
 		}
 		t.Stop()
@@ -149,55 +150,55 @@
 		return a, fault.New(fault.Timeout, fault.Unknown, "no owner has confirmed the request")
 	}
 	e := fault.From(err)
-	return a, fault.New(fault.Unavailable, fault.NotRun, "%s", e.Detail).WithRetryAfter(max(e.RetryAfter, retryTakeover))
+	return a, fault.New(fault.Unavailable, fault.NotRun, "%s", e.Detail).WithRetryAfter(max(e.RetryAfter, takeoverRetryAfter))
 }
 
-// retryable reports whether another try, or another owner, may answer.
+// retryable reports whether a retry, perhaps at another owner, may succeed.
 func retryable(e *fault.Error) bool {
 	return e != nil && (e.Code == fault.NotOwner || e.Code == fault.Unavailable || e.Code == fault.Timeout)
 }
 
-// once makes one try.
-func (h *Host) once(ctx context.Context, c callMsg) (a callAnswer, err error) {
+// tryOnce sends a call to the owner once.
+func (h *Host) tryOnce(ctx context.Context, c callMsg) (a callAnswer, err error) {
 	h.mu.Lock()
-	l, own, now := h.lead, h.own, h.clock.Now()
+	o, owner, now := h.localOwner, h.owner, h.clock.Now()
 	h.mu.Unlock()
-	if l != nil {
+	if o != nil {
 		return h.serveCall(ctx, c)
 	}
-	if own.addr == "" || own.addr == h.addr || now.Sub(own.heard) > suspectAfter {
+	if owner.addr == "" || owner.addr == h.addr || now.Sub(owner.lastContact) > suspectAfter {
 		return a, fault.New(fault.NotOwner, fault.NotRun, "no owner is known")
 	}
 	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
-	return frame.Call(ctx, h.pool, own.addr, callMethod, c)
+	return frame.Call(ctx, h.pool, owner.addr, callMethod, c)
 }
 
-// serveCall answers a call as the owner.
+// serveCall executes a call if this host is the owner.
 func (h *Host) serveCall(ctx context.Context, c callMsg) (a callAnswer, err error) {
 	h.mu.Lock()
-	l := h.lead
+	o := h.localOwner
 	h.mu.Unlock()
-	if l == nil {
+	if o == nil {
 		return a, fault.New(fault.NotOwner, fault.NotRun, "this host does not own the jobs")
 	}
 	switch c.Kind {
 	case callSubmit:
-		return a, l.Submit(ctx, c.Spec)
+		return a, o.Submit(ctx, c.Spec)
 	case callCancel:
-		return a, l.Cancel(ctx, c.ID)
+		return a, o.Cancel(ctx, c.ID)
 	case callPending:
-		a.Pending, err = l.Pending(c.Queue)
+		a.Pending, err = o.Pending(c.Queue)
 		return a, err
 	}
-	s, ok, err := l.Status(c.ID)
+	s, ok, err := o.Status(c.ID)
 	if err == nil && !ok {
 		err = fault.New(fault.NotFound, fault.Done, "no job %q", c.ID)
 	}
 	return callAnswer{Status: s}, err
 }
 
-// reply writes the answer and returns its status.
+// reply writes the response and returns its status code.
 func (h *Host) reply(w http.ResponseWriter, c callMsg, a callAnswer, err error) int {
 	if err != nil {
 		return h.replyError(w, c, fault.From(err))
@@ -216,12 +217,12 @@
 		w.Header().Set("Content-Type", "application/json")
 	}
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
-	_, _ = w.Write(body) // a caller that is gone does not need the answer
+	_, _ = w.Write(body) // a write error means that the client has disconnected
 	return http.StatusOK
 }
 
-// replyError writes a problem document. A job that does not exist is "gone" to
-// callers, since "not found" means that there is no such queue.
+// replyError writes a problem document and returns its status code. An unknown job
+// gets 410 Gone, since 404 Not Found means that the queue does not exist.
 func (h *Host) replyError(w http.ResponseWriter, c callMsg, e *fault.Error) int {
 	if e.Code == fault.NotFound && (c.Kind == callStatus || c.Kind == callCancel) && c.ID != "" {
 		w.WriteHeader(http.StatusGone)
--- a/internal/node/gate/host.go
+++ b/internal/node/gate/host.go
@@ -1,16 +1,17 @@
-// Package gate is the daemon of an entry host on the users' platform: it takes
-// callers' requests, follows the operators' configuration, knows its peers,
-// and decides which of them owns the jobs.
+// Package gate implements the daemon of an entry host on the users' platform. It
+// serves client requests, applies the operators' configuration, exchanges
+// heartbeats with the other entry hosts and elects the owner of the jobs.
 //
-// Every host is equal. A host that does not own the jobs checks a request and
-// forwards it to the owner; it also asks for advice on the owner's behalf,
-// carries the owner's calls to the store when the platform turns the owner
-// away, and keeps a warm copy of the records, so that it can take over within
-// the time that it takes to claim.
+// All entry hosts run the same code. A host that is not the owner validates client
+// requests and forwards them to the owner. It also sends advice requests for the
+// owner and relays the owner's store calls when the store refuses or does not
+// answer the owner. The hosts next in the takeover order keep a replica of the job
+// records, so that a takeover needs little more than the claim itself.
 //
-// Ownership is a claim record with an epoch above all earlier ones. The store
-// refuses appends of lower epochs, and workers refuse orders with lower fencing
-// tokens, so a host that has missed its removal changes nothing.
+// A host becomes the owner by appending a claim record with an epoch above all
+// earlier ones. The store refuses appends of lower epochs and workers refuse
+// orders with lower fencing tokens, so an owner that has missed its replacement
+// cannot change anything.
 //
 // # Usage
 //
@@ -41,27 +42,27 @@
 	"lagooncourse/internal/plat/ports"
 )
 
-// Codec translates what callers send and get.
+// Codec decodes client requests and encodes responses.
 type Codec struct {
 	Job      func(id string, body []byte) (sched.Spec, error)
-	JobID    func(id string) error
+	JobID    func(id string) error // validates a job ID
 	Key      func(http.Header) string
-	Deadline func(http.Header) time.Duration // how long the caller waits; 0 if it does not say
+	Deadline func(http.Header) time.Duration // how long the client waits; 0 if not given
 	State    func(sched.Status) ([]byte, error)
 	Pending  func(int) ([]byte, error)
 }
 
-// Config describes a Host.
+// Config configures a Host.
 type Config struct {
 	Host       string
 	IP         string
 	Az         string
-	Listen     string // IP:port for callers
+	Listen     string // IP:port for client requests
 	Ready      string // IP:port of the readiness check
 	ReadyPath  string
-	PeerPort   int   // for frames, alike on all hosts
-	MetricPort int   // 0 serves no metrics
-	Power      int64 // processor time that the process may use, in millicores; 0 if unknown
+	PeerPort   int   // for calls between entry hosts; the same on all of them
+	MetricPort int   // 0 disables metrics
+	Power      int64 // CPU limit of the process in millicores; 0 if unknown
 
 	Store   ports.Store
 	Workers ports.Workers
@@ -77,47 +78,47 @@
 	ParseWorker   func(key string, value []byte) (sched.WorkerInfo, error)
 	WorkerID      func(key string) string
 
-	KeepMs   int64
-	LeaseMax int64
+	KeepMs   int64 // retention time of ended jobs
+	LeaseMax int64 // longest lease that a worker grants, in ms
 	Clock    clock.Clock
 	Logger   logr.Logger
 }
 
 // Host is a running entry host.
 type Host struct {
-	cfg     Config
-	log     logr.Logger
-	clock   clock.Clock
-	addr    string // for frames
-	store   *relayStore
-	site    *siteState
-	pool    *frame.Pool
-	frames  *frame.Server
-	front   *httpd.Server
-	checks  []*httpd.Server
-	desks   *desks
-	reg     *prometheus.Registry
-	metrics *metrics
-	leadMet *lead.Metrics
+	cfg         Config
+	log         logr.Logger
+	clock       clock.Clock
+	addr        string // for calls from other entry hosts
+	store       *relayStore
+	site        *siteState
+	pool        *frame.Pool
+	peerServer  *frame.Server
+	apiServer   *httpd.Server
+	auxServers  []*httpd.Server
+	adviceHosts *adviceHosts
+	reg         *prometheus.Registry
+	metrics     *metrics
+	leadMetrics *lead.Metrics
 
-	cancel   context.CancelFunc
-	loops    sync.WaitGroup
-	rostered chan struct{} // closed when the other hosts have been read from the store
-	inFlight atomic.Int64
+	cancel    context.CancelFunc
+	loops     sync.WaitGroup
+	hostsRead chan struct{} // closed after the registered hosts were first read from the store
+	inFlight  atomic.Int64
 
-	mu      sync.Mutex
-	peers   map[string]*peer
-	own     ownership
-	met     bool      // an owner has answered this process
-	since   time.Time // when this host became the owner
-	leaving bool
-	invited bool
-	replica *replica
-	lead    *lead.Lead
-	changed chan struct{} // closed and replaced when the owner changes
+	mu             sync.Mutex
+	peers          map[string]*peer
+	owner          ownerInfo
+	ownerContacted bool      // this process has been in contact with an owner
+	ownerSince     time.Time // when this host became the owner
+	leaving        bool      // this host is shutting down
+	claimRequested bool      // the owner has asked this host to take over
+	replica        *replica
+	localOwner     *lead.Owner   // nil unless this host is the owner
+	ownerCh        chan struct{} // closed and replaced when the owner changes
 }
 
-// Start opens the listeners and joins the other hosts.
+// Start opens the listeners and starts the background loops.
 func Start(cfg Config) (h *Host, err error) {
 	defer fault.Note(&err, "start entry host %q", cfg.Host)
 	if cfg.Clock == nil {
@@ -126,21 +127,21 @@
 	h = &Host{
 		cfg: cfg, log: cfg.Logger.WithName("gate").WithValues("host", cfg.Host), clock: cfg.Clock,
 		addr: net.JoinHostPort(cfg.IP, strconv.Itoa(cfg.PeerPort)), site: newSiteState(),
-		pool: frame.NewPool(frame.PoolConfig{}), peers: map[string]*peer{}, changed: make(chan struct{}),
-		replica: newReplica(), rostered: make(chan struct{}), reg: prometheus.NewRegistry(),
+		pool: frame.NewPool(frame.PoolConfig{}), peers: map[string]*peer{}, ownerCh: make(chan struct{}),
+		replica: newReplica(), hostsRead: make(chan struct{}), reg: prometheus.NewRegistry(),
 	}
-	h.own.heard = cfg.Clock.Now()
+	h.owner.lastContact = cfg.Clock.Now()
 	h.store = &relayStore{direct: cfg.Store, host: h}
-	h.desks = &desks{host: h, busy: map[string]bool{}, after: map[string]time.Time{}}
+	h.adviceHosts = &adviceHosts{host: h, busy: map[string]bool{}, retryAt: map[string]time.Time{}}
 	h.metrics = newMetrics(h.reg)
-	h.leadMet = lead.NewMetrics(h.reg)
+	h.leadMetrics = lead.NewMetrics(h.reg)
 	if err := h.listen(); err != nil {
 		h.Kill()
 		return nil, err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	h.cancel = cancel
-	for _, loop := range []func(context.Context){h.siteLoop, h.pingLoop, h.rosterLoop, h.replicaLoop, h.claimLoop} {
+	for _, loop := range []func(context.Context){h.siteLoop, h.pingLoop, h.hostsLoop, h.replicaLoop, h.claimLoop} {
 		h.loops.Add(1)
 		go func() {
 			defer h.loops.Done()
@@ -151,151 +152,154 @@
 	return h, nil
 }
 
+// listen opens the listeners and starts serving.
 func (h *Host) listen() (err error) {
-	h.frames = frame.NewServer(frame.ServerConfig{Addr: h.addr})
-	frame.Handle(h.frames, pingMethod, h.servePing)
-	frame.Handle(h.frames, callMethod, h.serveCall)
-	frame.Handle(h.frames, adviseMethod, h.serveAdvise)
-	frame.Handle(h.frames, appendMethod, h.serveAppend)
-	frame.Handle(h.frames, readMethod, h.serveRead)
-	frame.Handle(h.frames, newestMethod, h.serveNewest)
-	frame.Handle(h.frames, siteMethod, h.serveSite)
-	if err := h.frames.Listen(); err != nil {
+	h.peerServer = frame.NewServer(frame.ServerConfig{Addr: h.addr})
+	frame.Handle(h.peerServer, pingMethod, h.servePing)
+	frame.Handle(h.peerServer, callMethod, h.serveCall)
+	frame.Handle(h.peerServer, adviseMethod, h.serveAdvise)
+	frame.Handle(h.peerServer, appendMethod, h.serveAppend)
+	frame.Handle(h.peerServer, readMethod, h.serveRead)
+	frame.Handle(h.peerServer, newestMethod, h.serveNewest)
+	frame.Handle(h.peerServer, siteMethod, h.serveSite)
+	if err := h.peerServer.Listen(); err != nil {
 		return err
 	}
-	h.front, err = httpd.Listen(httpd.Config{Name: "gate", Addr: h.cfg.Listen, Handler: http.HandlerFunc(h.serveFront)})
+	h.apiServer, err = httpd.Listen(httpd.Config{Name: "gate", Addr: h.cfg.Listen, Handler: http.HandlerFunc(h.serveAPI)})
 	if err != nil {
 		return err
 	}
-	h.serve(h.front)
-	ready := http.NewServeMux()
-	ready.HandleFunc(h.cfg.ReadyPath, h.serveReady)
-	if err := h.check(h.cfg.Ready, ready); err != nil {
+	h.serve(h.apiServer)
+	readyMux := http.NewServeMux()
+	readyMux.HandleFunc(h.cfg.ReadyPath, h.serveReady)
+	if err := h.listenAux(h.cfg.Ready, readyMux); err != nil {
 		return err
 	}
 	if h.cfg.MetricPort == 0 {
 		return nil
 	}
-	own := http.NewServeMux()
-	own.Handle("/metrics", promhttp.HandlerFor(h.reg, promhttp.HandlerOpts{}))
-	own.HandleFunc("/dump", h.serveDump)
-	return h.check(net.JoinHostPort(h.cfg.IP, strconv.Itoa(h.cfg.MetricPort)), own)
+	metricsMux := http.NewServeMux()
+	metricsMux.Handle("/metrics", promhttp.HandlerFor(h.reg, promhttp.HandlerOpts{}))
+	metricsMux.HandleFunc("/dump", h.serveDump)
+	return h.listenAux(net.JoinHostPort(h.cfg.IP, strconv.Itoa(h.cfg.MetricPort)), metricsMux)
 }
 
-// check serves a small HTTP API for operators.
-func (h *Host) check(addr string, handler http.Handler) error {
+// listenAux serves the readiness check or the metrics on their own address.
+func (h *Host) listenAux(addr string, handler http.Handler) error {
 	s, err := httpd.Listen(httpd.Config{Addr: addr, Handler: handler})
 	if err != nil {
 		return err
 	}
-	h.checks = append(h.checks, s)
+	h.auxServers = append(h.auxServers, s)
 	h.serve(s)
 	return nil
 }
 
-// serve answers requests in the background until the server is closed.
+// serve serves requests in the background until the server is closed.
 func (h *Host) serve(s *httpd.Server) {
 	go func() {
 		if err := s.Serve(); err != nil {
-			h.log.Error(err, "server ended", "addr", s.Addr())
+			h.log.Error(err, "HTTP server failed", "addr", s.Addr())
 		}
 	}()
 }
 
-// serveReady answers the balancer: a host is ready that knows the
-// configuration and reaches the owner.
+// serveReady serves the readiness check of the load balancer. A host is ready if
+// it has a configuration and recent contact with the owner.
 func (h *Host) serveReady(w http.ResponseWriter, _ *http.Request) {
 	if !h.ready() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
 
-// readyAge is how old the last contact with the owner may be. It outlasts an
-// ordinary takeover, in which requests wait instead of being turned away.
-const readyAge = 2500 * time.Millisecond
+// readyMaxAge is the maximum age of the last contact with the owner for a ready
+// host. It exceeds a normal takeover, during which requests wait instead of
+// failing.
+const readyMaxAge = 2500 * time.Millisecond
 
+// ready reports whether this host can serve client requests.
 func (h *Host) ready() bool {
 	if !h.site.ready() {
 		return false
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return !h.leaving && (h.lead != nil || h.own.addr != "" && h.clock.Now().Sub(h.own.heard) < readyAge)
+	return !h.leaving && (h.localOwner != nil || h.owner.addr != "" && h.clock.Now().Sub(h.owner.lastContact) < readyMaxAge)
 }
 
-// Reload takes note of new settings. None of them changes while the process
-// runs; what the operators change comes through the store.
+// Reload logs that new settings have no effect while the process runs. Operators'
+// changes arrive through the store.
 func (h *Host) Reload(cfg Config) {
 	if cfg.Listen != h.cfg.Listen || cfg.PeerPort != h.cfg.PeerPort {
-		h.log.Info("settings not taken up", "reason", "listen addresses change only with a restart", "listen", cfg.Listen, "peerPort", cfg.PeerPort)
+		h.log.Info("new settings ignored", "reason", "listen addresses change only with a restart", "listen", cfg.Listen, "peerPort", cfg.PeerPort)
 		return
 	}
-	h.log.Info("settings read again, nothing to take up")
+	h.log.Info("settings reloaded, nothing to apply")
 }
 
-// Stop ends the host gracefully: it stops being ready, hands the jobs over,
-// finishes what is in flight and closes.
+// Stop shuts the host down gracefully: it reports the host as not ready, hands
+// ownership over, completes the requests in flight and closes the listeners.
 func (h *Host) Stop(ctx context.Context) (err error) {
 	defer fault.Note(&err, "stop entry host %q", h.cfg.Host)
 	h.log.Info("stopping")
 	h.mu.Lock()
 	h.leaving = true
 	h.mu.Unlock()
-	h.handOver(ctx)
+	h.leaveAndHandOver(ctx)
 	h.drain(ctx)
-	err = h.front.Shutdown(ctx)
+	err = h.apiServer.Shutdown(ctx)
 	h.close()
 	h.log.Info("stopped")
 	return err
 }
 
-// drainFor is how long the balancer may go on sending new connections: two
-// misses of one second each.
-const drainFor = 2300 * time.Millisecond
+// drainTime is how long the load balancer may still send new connections: two
+// failed checks at an interval of one second.
+const drainTime = 2300 * time.Millisecond
 
-// drain waits until the balancer has noticed and requests have ended.
+// drain waits for drainTime and until no request is in flight.
 func (h *Host) drain(ctx context.Context) {
-	until := h.clock.Now().Add(drainFor)
+	until := h.clock.Now().Add(drainTime)
 	for ctx.Err() == nil && (h.clock.Now().Before(until) || h.inFlight.Load() > 0) {
 		clock.Sleep(ctx, 20*time.Millisecond)
 	}
 }
 
-// close ends loops and connections.
+// close stops the loops and the owner, and closes the connections.
 func (h *Host) close() {
 	if h.cancel != nil {
 		h.cancel()
 	}
 	h.mu.Lock()
-	l := h.lead
+	o := h.localOwner
 	h.mu.Unlock()
-	if l != nil {
-		l.Stop("the process ends")
+	if o != nil {
+		o.Stop("the process is exiting")
 	}
 	h.pool.Close()
-	if h.frames != nil {
-		h.frames.Close()
+	if h.peerServer != nil {
+		h.peerServer.Close()
 	}
-	for _, s := range h.checks {
+	for _, s := range h.auxServers {
 		_ = s.Close()
 	}
 }
 
-// Kill ends the host at once, as a crash would.
+// Kill stops the host without a handover or draining, like a crash.
 func (h *Host) Kill() {
-	if h.front != nil {
-		_ = h.front.Close()
+	if h.apiServer != nil {
+		_ = h.apiServer.Close()
 	}
 	h.close()
 }
 
-// viewChanged hands a new configuration to the owner, if that is this host.
+// viewChanged passes a new configuration to the owner if this host is the owner.
 func (h *Host) viewChanged() {
 	v := h.site.view()
 	h.mu.Lock()
-	l := h.lead
+	o := h.localOwner
 	h.mu.Unlock()
-	if l != nil {
-		l.SetView(v)
+	if o != nil {
+		o.SetView(v)
 	}
 }
--- a/internal/node/gate/member.go
+++ b/internal/node/gate/member.go
@@ -11,53 +11,53 @@
 	"lagooncourse/internal/plat/ports"
 )
 
-// Timing of the roster.
+// Intervals and timeouts of the host registry.
 const (
-	rosterEvery   = 2 * time.Second
-	rosterFirst   = 200 * time.Millisecond
-	rosterTimeout = time.Second
+	hostsPollInterval  = 2 * time.Second
+	hostsRetryInterval = 200 * time.Millisecond
+	hostsTimeout       = time.Second
 )
 
-// rosterLoop registers this host in the store and learns of the others.
-func (h *Host) rosterLoop(ctx context.Context) {
-	next, registered, known := int64(-1), false, false
+// hostsLoop registers this host in the store and polls the registered hosts.
+func (h *Host) hostsLoop(ctx context.Context) {
+	next, registered, loaded := int64(-1), false, false
 	for ctx.Err() == nil {
 		if !registered {
-			registered = h.enlist(ctx) == nil
+			registered = h.registerSelf(ctx) == nil
 		}
-		n, err := h.readRoster(ctx, next)
+		n, err := h.readHosts(ctx, next)
 		next = n
-		if err == nil && !known {
-			known = true
-			close(h.rostered)
+		if err == nil && !loaded {
+			loaded = true
+			close(h.hostsRead)
 		}
-		pause := rosterEvery
+		pause := hostsPollInterval
 		if err != nil || !registered {
-			pause = rosterFirst
+			pause = hostsRetryInterval
 		}
 		clock.Sleep(ctx, pause)
 	}
 }
 
-// rosterEntry is what a host writes about itself.
-type rosterEntry struct {
+// hostEntry is the stored registration of a host.
+type hostEntry struct {
 	Az    string
 	Power int64 // millicores
 }
 
-// enlist writes this host's entry.
-func (h *Host) enlist(ctx context.Context) error {
-	value, err := frame.Encode(rosterEntry{Az: h.cfg.Az, Power: h.cfg.Power})
+// registerSelf writes this host's registration.
+func (h *Host) registerSelf(ctx context.Context) error {
+	value, err := frame.Encode(hostEntry{Az: h.cfg.Az, Power: h.cfg.Power})
 	if err != nil {
-		h.log.Error(err, "roster entry not encoded")
+		h.log.Error(err, "failed to encode the host registration")
 		return err
 	}
-	return h.register(ctx, value)
+	return h.writeHostEntry(ctx, value)
 }
 
-// register writes this host's entry; without a value it removes it.
-func (h *Host) register(ctx context.Context, value []byte) error {
-	ctx, cancel := context.WithTimeout(ctx, rosterTimeout)
+// writeHostEntry writes this host's registration. An empty value deletes it.
+func (h *Host) writeHostEntry(ctx context.Context, value []byte) error {
+	ctx, cancel := context.WithTimeout(ctx, hostsTimeout)
 	defer cancel()
 	_, err := h.store.Append(ctx, ports.AppendRequest{
 		Topic: h.cfg.HostTopic, Records: []ports.Record{{Key: h.addr, Value: value}},
@@ -65,9 +65,10 @@
 	return err
 }
 
-// readRoster reads the entries of the hosts.
-func (h *Host) readRoster(ctx context.Context, next int64) (int64, error) {
-	ctx, cancel := context.WithTimeout(ctx, rosterTimeout)
+// readHosts applies the registrations from the offset next on, or the newest one
+// of each host if next is negative. It returns the next offset.
+func (h *Host) readHosts(ctx context.Context, next int64) (int64, error) {
+	ctx, cancel := context.WithTimeout(ctx, hostsTimeout)
 	defer cancel()
 	var records []ports.Record
 	if next >= 0 {
@@ -90,12 +91,12 @@
 		}
 		records, next = all, end
 	}
-	h.takeRoster(records)
+	h.applyHosts(records)
 	return next, nil
 }
 
-// takeRoster adds and removes peers.
-func (h *Host) takeRoster(records []ports.Record) {
+// applyHosts adds and removes peers.
+func (h *Host) applyHosts(records []ports.Record) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, r := range records {
@@ -104,9 +105,9 @@
 		case len(r.Value) == 0:
 			delete(h.peers, r.Key)
 		case h.peers[r.Key] == nil:
-			e, err := frame.Decode[rosterEntry](r.Value)
+			e, err := frame.Decode[hostEntry](r.Value)
 			if err != nil {
-				h.log.Info("roster entry ignored", "peer", r.Key, "err", err.Error())
+				h.log.Info("ignoring invalid host registration", "peer", r.Key, "err", err.Error())
 				continue
 			}
 			h.peers[r.Key] = &peer{addr: r.Key, az: e.Az, power: e.Power}
@@ -114,8 +115,7 @@
 	}
 }
 
-// pingLoop exchanges heartbeats: with the owner if one is known, otherwise
-// with all peers.
+// pingLoop sends heartbeats to peers.
 func (h *Host) pingLoop(ctx context.Context) {
 	round := 0
 	for ctx.Err() == nil {
@@ -123,82 +123,84 @@
 			go h.ping(ctx, addr)
 		}
 		round++
-		clock.Sleep(ctx, pingEvery)
+		clock.Sleep(ctx, pingInterval)
 	}
 }
 
-// pingAllEvery is every how many rounds all peers are asked, so that each host
-// knows who lives before it has to.
-const pingAllEvery = 5
+// pingAllRounds is the number of rounds between heartbeats to all peers. They keep
+// the list of live peers up to date for a takeover.
+const pingAllRounds = 5
 
-// pingSilentEvery is every how many rounds hosts are asked that have been silent
-// for long: about every five seconds.
-const pingSilentEvery = 25
+// pingSilentRounds is the number of rounds, about 5 s, between heartbeats to peers
+// that have been silent for longer than silentPeerAge.
+const pingSilentRounds = 25
 
-// pingAddrs returns whom to ask in a round.
+// pingAddrs returns the peers to ping in a round. Every pingAllRounds rounds, and
+// without recent contact with the owner in every round, these are all peers. In the
+// other rounds they are the owner only, or none if this host is the owner.
 func (h *Host) pingAddrs(round int) []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	silent := h.clock.Now().Sub(h.own.heard)
-	if h.lead == nil && h.own.addr != "" && h.own.addr != h.addr && silent < suspectAfter/2 && round%pingAllEvery != 0 {
-		return []string{h.own.addr}
+	silent := h.clock.Now().Sub(h.owner.lastContact)
+	if h.localOwner == nil && h.owner.addr != "" && h.owner.addr != h.addr && silent < suspectAfter/2 && round%pingAllRounds != 0 {
+		return []string{h.owner.addr}
 	}
-	if h.lead != nil && round%pingAllEvery != 0 {
+	if h.localOwner != nil && round%pingAllRounds != 0 {
 		return nil
 	}
 	var list []string
 	now := h.clock.Now()
 	for addr, p := range h.peers {
-		if p.heard.IsZero() || now.Sub(p.heard) < forgetPeer || round%pingSilentEvery == 0 {
+		if p.lastContact.IsZero() || now.Sub(p.lastContact) < silentPeerAge || round%pingSilentRounds == 0 {
 			list = append(list, addr)
 		}
 	}
 	return list
 }
 
-// self returns this host's heartbeat.
+// self returns the heartbeat of this host.
 func (h *Host) self() ping {
 	site := h.site.offset()
-	storeOK := h.store.ok()
+	storeOK := h.store.healthy()
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	p := ping{
-		Addr: h.addr, Az: h.cfg.Az, Leaving: h.leaving, Epoch: h.own.epoch, Owner: h.own.addr,
-		OwnerAgeMs: h.clock.Now().Sub(h.own.heard).Milliseconds(), SiteNext: site, StoreOK: storeOK, Power: h.cfg.Power,
+		Addr: h.addr, Az: h.cfg.Az, Leaving: h.leaving, Epoch: h.owner.epoch, Owner: h.owner.addr,
+		OwnerAgeMs: h.clock.Now().Sub(h.owner.lastContact).Milliseconds(), SiteNext: site, StoreOK: storeOK, Power: h.cfg.Power,
 	}
-	if h.lead != nil {
+	if h.localOwner != nil {
 		p.OwnerAgeMs = 0
 	}
 	return p
 }
 
-// ping asks one peer.
+// ping sends a heartbeat to a peer and processes its answer.
 func (h *Host) ping(ctx context.Context, addr string) {
 	ctx, cancel := context.WithTimeout(ctx, pingTimeout)
 	defer cancel()
 	a, err := frame.Call(ctx, h.pool, addr, pingMethod, h.self())
 	if err != nil {
 		if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-			h.pool.Drop(addr) // the connection may have gone silent
+			h.pool.Drop(addr) // the connection may be dead
 		}
 		return
 	}
-	h.hear(ctx, a)
+	h.processPing(ctx, a)
 }
 
-// servePing answers a peer.
+// servePing processes a peer's heartbeat and answers with this host's.
 func (h *Host) servePing(ctx context.Context, p ping) (ping, error) {
-	h.hear(context.WithoutCancel(ctx), p)
+	h.processPing(context.WithoutCancel(ctx), p)
 	if p.Claim {
 		h.mu.Lock()
-		h.invited = true
+		h.claimRequested = true
 		h.mu.Unlock()
 	}
 	return h.self(), nil
 }
 
-// hear takes a peer's heartbeat.
-func (h *Host) hear(ctx context.Context, a ping) {
+// processPing updates the peer and the owner from a peer's heartbeat.
+func (h *Host) processPing(ctx context.Context, a ping) {
 	now := h.clock.Now()
 	h.mu.Lock()
 	p := h.peers[a.Addr]
@@ -206,39 +208,39 @@
 		p = &peer{addr: a.Addr, az: a.Az}
 		h.peers[a.Addr] = p
 	}
-	p.power, p.heard, p.leaving, p.owner, p.storeOK = a.Power, now, a.Leaving, a.Owner, a.StoreOK
-	p.heardBy = time.Duration(a.OwnerAgeMs) * time.Millisecond
-	if a.Epoch > h.own.epoch && a.Owner != "" {
-		h.setOwner(a.Epoch, a.Owner, now.Add(-p.heardBy))
+	p.power, p.lastContact, p.leaving, p.ownerAddr, p.storeOK = a.Power, now, a.Leaving, a.Owner, a.StoreOK
+	p.ownerAge = time.Duration(a.OwnerAgeMs) * time.Millisecond
+	if a.Epoch > h.owner.epoch && a.Owner != "" {
+		h.setOwner(a.Epoch, a.Owner, now.Add(-p.ownerAge))
 	}
-	if a.Epoch == h.own.epoch && a.Owner == a.Addr && a.OwnerAgeMs == 0 {
-		h.own.heard, h.met = now, true
+	if a.Epoch == h.owner.epoch && a.Owner == a.Addr && a.OwnerAgeMs == 0 {
+		h.owner.lastContact, h.ownerContacted = now, true
 	}
 	h.mu.Unlock()
 	if a.SiteNext > h.site.offset() {
-		go h.catchUp(ctx, a.Addr)
+		go h.fetchSite(ctx, a.Addr)
 	}
 }
 
-// setOwner takes note of a later ownership, whose holder was heard at the given
-// time. The caller holds the lock.
-func (h *Host) setOwner(epoch int64, addr string, heard time.Time) {
-	h.own = ownership{epoch: epoch, addr: addr, heard: heard}
-	if h.lead != nil && addr != h.addr {
-		h.lead.Stop("a peer has claimed a later epoch")
+// setOwner records an owner with a higher epoch and the time of the last contact
+// with it. It stops the owner on this host if another host is the new one. The
+// caller holds h.mu.
+func (h *Host) setOwner(epoch int64, addr string, lastContact time.Time) {
+	h.owner = ownerInfo{epoch: epoch, addr: addr, lastContact: lastContact}
+	if h.localOwner != nil && addr != h.addr {
+		h.localOwner.Stop("a peer has claimed a higher epoch")
 	}
 	h.ownerChanged()
 	h.log.Info("owner", "epoch", epoch, "addr", addr)
 }
 
-// ownerChanged wakes the requests that wait for an owner. The caller holds the
-// lock.
+// ownerChanged wakes the requests that wait for an owner. The caller holds h.mu.
 func (h *Host) ownerChanged() {
-	close(h.changed)
-	h.changed = make(chan struct{})
+	close(h.ownerCh)
+	h.ownerCh = make(chan struct{})
 }
 
-// peerList returns a copy of the peers. The caller holds the lock.
+// peerList returns a copy of the peers. The caller holds h.mu.
 func (h *Host) peerList() []peer {
 	list := make([]peer, 0, len(h.peers))
 	for _, p := range h.peers {
@@ -247,15 +249,15 @@
 	return list
 }
 
-// storePeers returns peers that can relay a call to the store, the likeliest
-// first.
+// storePeers returns up to n peers that can relay a call to the store: those in
+// this host's availability zone first, then those with the latest contact.
 func (h *Host) storePeers(n int) []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.clock.Now()
 	var list []*peer
 	for _, p := range h.peers {
-		if p.storeOK && now.Sub(p.heard) < recentPeer {
+		if p.storeOK && now.Sub(p.lastContact) < recentPeerAge {
 			list = append(list, p)
 		}
 	}
@@ -264,7 +266,7 @@
 		if near != (list[b].az == h.cfg.Az) {
 			return near
 		}
-		return list[a].heard.After(list[b].heard)
+		return list[a].lastContact.After(list[b].lastContact)
 	})
 	var addrs []string
 	for _, p := range list {
@@ -275,15 +277,14 @@
 	return addrs
 }
 
-// adviseAddrs returns the hosts through which advice can be asked, this one
-// last.
+// adviseAddrs returns the hosts that can send advice requests, this host last.
 func (h *Host) adviseAddrs() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.clock.Now()
 	var list []string
 	for addr, p := range h.peers {
-		if !p.leaving && now.Sub(p.heard) < recentPeer {
+		if !p.leaving && now.Sub(p.lastContact) < recentPeerAge {
 			list = append(list, addr)
 		}
 	}
--- a/internal/node/gate/metrics.go
+++ b/internal/node/gate/metrics.go
@@ -10,11 +10,12 @@
 	"github.com/prometheus/client_golang/prometheus/collectors"
 )
 
+// metrics holds the metrics of an entry host.
 type metrics struct {
 	requests *prometheus.HistogramVec
 }
 
-// requestBuckets are in seconds, up to the callers' deadline.
+// requestBuckets range up to the usual client deadline, in seconds.
 var requestBuckets = []float64{.002, .005, .01, .025, .05, .1, .25, .5, 1, 2, 3, 5}
 
 func newMetrics(reg *prometheus.Registry) *metrics {
@@ -32,7 +33,7 @@
 	m.requests.WithLabelValues(kindNames[k], strconv.Itoa(status)).Observe(d.Seconds())
 }
 
-// dump is what a host believes, for people.
+// dump is the state of a host for operators.
 type dump struct {
 	Host        string     `json:"host"`
 	Owner       string     `json:"owner"`
@@ -45,6 +46,7 @@
 	Peers       []peerDump `json:"peers"`
 }
 
+// peerDump is the state of a peer for operators.
 type peerDump struct {
 	Addr    string `json:"addr"`
 	Az      string `json:"az"`
@@ -53,24 +55,24 @@
 	StoreOK bool   `json:"storeOk"`
 }
 
-// serveDump writes what this host believes and how old it is.
+// serveDump writes the state of this host as JSON.
 func (h *Host) serveDump(w http.ResponseWriter, _ *http.Request) {
 	now := h.clock.Now()
 	d := dump{Host: h.cfg.Host}
 	h.site.mu.Lock()
-	d.SiteVersion, d.SiteAgeMs = h.site.site.Version, now.Sub(h.site.heard).Milliseconds()
+	d.SiteVersion, d.SiteAgeMs = h.site.site.Version, now.Sub(h.site.lastUpdate).Milliseconds()
 	h.site.mu.Unlock()
 	h.mu.Lock()
-	d.Owner, d.Epoch, d.OwnerAgeMs, d.IsOwner = h.own.addr, h.own.epoch, now.Sub(h.own.heard).Milliseconds(), h.lead != nil
-	if !h.replica.busy && h.lead == nil {
+	d.Owner, d.Epoch, d.OwnerAgeMs, d.IsOwner = h.owner.addr, h.owner.epoch, now.Sub(h.owner.lastContact).Milliseconds(), h.localOwner != nil
+	if !h.replica.inUse && h.localOwner == nil {
 		d.Next = h.replica.state.Next
 	}
 	for _, p := range h.peers {
-		d.Peers = append(d.Peers, peerDump{p.addr, p.az, now.Sub(p.heard).Milliseconds(), p.leaving, p.storeOK})
+		d.Peers = append(d.Peers, peerDump{p.addr, p.az, now.Sub(p.lastContact).Milliseconds(), p.leaving, p.storeOK})
 	}
 	h.mu.Unlock()
 	w.Header().Set("Content-Type", "application/json")
 	enc := json.NewEncoder(w)
 	enc.SetIndent("", "  ")
-	_ = enc.Encode(d) // the reader may be gone
+	_ = enc.Encode(d) // a write error means that the client has disconnected
 }
--- a/internal/node/gate/peers.go
+++ b/internal/node/gate/peers.go
@@ -5,69 +5,70 @@
 	"time"
 )
 
-// peer is another entry host as this one has heard of it.
+// peer is the state of another entry host, from its heartbeats.
 type peer struct {
-	addr    string
-	az      string
-	heard   time.Time // when it answered last
-	leaving bool
-	power   int64 // millicores
-	owner   string
-	heardBy time.Duration // age of its contact with the owner, when it answered
-	storeOK bool
+	addr        string
+	az          string
+	lastContact time.Time // last heartbeat; zero if there was none
+	leaving     bool
+	power       int64 // millicores
+	ownerAddr   string
+	ownerAge    time.Duration // age of its last contact with the owner at that heartbeat
+	storeOK     bool
 }
 
-// ownership is what this host believes about the owner of the jobs.
-type ownership struct {
-	epoch int64
-	addr  string
-	heard time.Time // when the owner answered last, or was announced
+// ownerInfo is the current owner of the jobs as seen by this host.
+type ownerInfo struct {
+	epoch       int64
+	addr        string
+	lastContact time.Time // last contact with the owner, direct or reported by a peer
 }
 
-// Timing of membership.
+// Intervals and timeouts of membership and election.
 const (
-	pingEvery    = 200 * time.Millisecond
-	pingTimeout  = 500 * time.Millisecond
-	suspectAfter = 800 * time.Millisecond // four heartbeats
-	claimStagger = 400 * time.Millisecond // longer than a claim takes
-	ownerFresh   = 700 * time.Millisecond // a peer that has heard the owner since then speaks against a claim
-	aloneAfter   = 2500 * time.Millisecond
-	forgetPeer   = 60 * time.Second // a host that has been silent for longer is asked less often
-	livePeer     = 900 * time.Millisecond
-	firstPings   = 250 * time.Millisecond // to hear of an owner before the first claim
+	pingInterval       = 200 * time.Millisecond
+	pingTimeout        = 500 * time.Millisecond
+	suspectAfter       = 800 * time.Millisecond // four heartbeats
+	claimStagger       = 400 * time.Millisecond // longer than a claim takes
+	ownerContactWindow = 700 * time.Millisecond // a peer's contact with the owner within this time prevents a claim
+	isolatedClaimDelay = 2500 * time.Millisecond
+	silentPeerAge      = 60 * time.Second // peers silent for longer are pinged less often
+	livePeerAge        = 900 * time.Millisecond
+	startupPingWait    = 250 * time.Millisecond // time to find the owner before the first claim
 )
 
-// contest is what decides whether a host should claim the ownership.
-type contest struct {
-	self    string
-	power   int64 // millicores of this host
-	now     time.Time
-	silent  time.Duration // since the owner was heard
-	peers   []peer
-	grows   bool // the jobs' topic has grown lately, so an owner lives
-	invited bool // the owner has asked this host to take over
+// election holds the inputs of the decision to claim ownership.
+type election struct {
+	self           string
+	power          int64 // millicores of this host
+	now            time.Time
+	ownerSilence   time.Duration // since the last contact with the owner
+	peers          []peer
+	topicGrows     bool // the job topic has grown recently, so there is a live owner
+	claimRequested bool // the owner has asked this host to take over
 }
 
-// shouldClaim decides whether this host claims the ownership now. Hosts take
-// turns by rankOf, so that usually one claims; the store decides between two.
+// shouldClaim reports whether this host should claim ownership now. The delay
+// before a claim depends on rankOf, so that usually only one host claims. The
+// store decides between concurrent claims.
 //
-// A host that hears no peer at all may itself be the one that is cut off. It
-// claims only if nobody has written to the topic for a while.
-func (c contest) shouldClaim() bool {
-	if c.invited {
+// A host without contact to any peer may be the isolated one. It claims only after
+// isolatedClaimDelay, and only if the topic has not grown recently.
+func (c election) shouldClaim() bool {
+	if c.claimRequested {
 		return true
 	}
-	if c.silent < suspectAfter {
+	if c.ownerSilence < suspectAfter {
 		return false
 	}
 	live := []peer{{addr: c.self, power: c.power}}
 	known := 0
 	for _, p := range c.peers {
 		known++
-		if c.now.Sub(p.heard) > livePeer {
+		if c.now.Sub(p.lastContact) > livePeerAge {
 			continue
 		}
-		if p.owner != "" && p.heardBy < ownerFresh && p.owner != c.self {
+		if p.ownerAddr != "" && p.ownerAge < ownerContactWindow && p.ownerAddr != c.self {
 			return false
 		}
 		if !p.leaving {
@@ -75,15 +76,15 @@
 		}
 	}
 	if known > 0 && len(live) == 1 {
-		return c.silent > aloneAfter && !c.grows
+		return c.ownerSilence > isolatedClaimDelay && !c.topicGrows
 	}
-	return c.silent >= suspectAfter+time.Duration(rankOf(c.self, live))*claimStagger
+	return c.ownerSilence >= suspectAfter+time.Duration(rankOf(c.self, live))*claimStagger
 }
 
-// rankOf returns a host's place among those that could own the jobs, the most
-// powerful first: a small host cannot carry the orders of a large fleet.
+// rankOf returns a host's position in the takeover order. The most powerful host
+// is first, since a small host cannot handle the orders of a large fleet.
 func rankOf(self string, hosts []peer) int {
-	byPower(hosts)
+	sortByPower(hosts)
 	for i, p := range hosts {
 		if p.addr == self {
 			return i
@@ -92,8 +93,8 @@
 	return len(hosts)
 }
 
-// byPower orders hosts by power, and by address where that is alike.
-func byPower(hosts []peer) {
+// sortByPower sorts hosts by descending power, then by address.
+func sortByPower(hosts []peer) {
 	sort.Slice(hosts, func(a, b int) bool {
 		if hosts[a].power != hosts[b].power {
 			return hosts[a].power > hosts[b].power
@@ -102,59 +103,62 @@
 	})
 }
 
-// recentPeer is how long ago a peer may have been heard to count as living
-// where nothing is suspected: two rounds in which all peers are asked.
-const recentPeer = 2 * pingAllEvery * pingEvery
+// recentPeerAge is the maximum age of the last heartbeat of a peer that counts as
+// live outside an election: two rounds of heartbeats to all peers.
+const recentPeerAge = 2 * pingAllRounds * pingInterval
 
-// stays reports whether the peer lives and is not ending.
-func (p peer) stays(now time.Time) bool { return !p.leaving && now.Sub(p.heard) < recentPeer }
+// isActive reports whether the peer is live and not shutting down.
+func (p peer) isActive(now time.Time) bool {
+	return !p.leaving && now.Sub(p.lastContact) < recentPeerAge
+}
 
-// heirs returns the hosts that could take the jobs over, the most powerful
-// first. A host that is ending itself is none.
-func heirs(peers []peer, now time.Time) (addrs []string) {
+// handoverCandidates returns the addresses of the active peers, the most
+// powerful first.
+func handoverCandidates(peers []peer, now time.Time) (addrs []string) {
 	var list []peer
 	for _, p := range peers {
-		if p.stays(now) {
+		if p.isActive(now) {
 			list = append(list, p)
 		}
 	}
-	byPower(list)
+	sortByPower(list)
 	for _, p := range list {
 		addrs = append(addrs, p.addr)
 	}
 	return addrs
 }
 
-// warmCopies is how many hosts besides the owner keep a copy of the records:
-// one more than the hosts whose loss at once is to be borne today. A host
-// without one reads everything when its turn comes.
-const warmCopies = 3
+// standbyHosts is the number of hosts besides the owner that keep a replica of the
+// job records: one more than the number of simultaneous host failures to tolerate.
+// Any other host reads all records when it claims.
+const standbyHosts = 3
 
-// inLine reports whether a host is among those that would take over next. Only
-// they follow the records: on a link of 10 Mbit/s, reading them twice a second
-// holds up everything else for 140 ms. With fresh set this host has only begun,
-// and peers that it has not asked yet count as living.
-func inLine(self peer, owner string, peers []peer, fresh bool, now time.Time) bool {
+// isStandby reports whether a host is among the first standbyHosts in the takeover
+// order. Only these hosts read the job records: on a 10 Mbit/s link, reading them
+// twice per second delays other traffic by 140 ms. If fresh is set, this host has
+// just started, and peers without a heartbeat count as live.
+func isStandby(self peer, owner string, peers []peer, fresh bool, now time.Time) bool {
 	list := []peer{self}
 	for _, p := range peers {
-		if p.addr != owner && (p.stays(now) || fresh && p.heard.IsZero()) {
+		if p.addr != owner && (p.isActive(now) || fresh && p.lastContact.IsZero()) {
 			list = append(list, p)
 		}
 	}
-	return rankOf(self.addr, list) < warmCopies
+	return rankOf(self.addr, list) < standbyHosts
 }
 
-// muchStronger is how many times as powerful a host must be for a weaker owner
-// to hand the jobs over to it.
-const muchStronger = 2
+// handoverPowerRatio is the minimum ratio of a host's power to the owner's power
+// for a handover to that host.
+const handoverPowerRatio = 2
 
-// successor returns the host to which an owner should hand over, if any.
-func successor(power int64, peers []peer, now time.Time) (addr string, ok bool) {
+// strongerPeer returns the most powerful live peer if the owner should hand over to
+// it.
+func strongerPeer(power int64, peers []peer, now time.Time) (addr string, ok bool) {
 	var best peer
 	for _, p := range peers {
-		if now.Sub(p.heard) < livePeer && !p.leaving && p.storeOK && (p.power > best.power || p.power == best.power && p.addr < best.addr) {
+		if now.Sub(p.lastContact) < livePeerAge && !p.leaving && p.storeOK && (p.power > best.power || p.power == best.power && p.addr < best.addr) {
 			best = p
 		}
 	}
-	return best.addr, best.power >= muchStronger*max(power, 1)
+	return best.addr, best.power >= handoverPowerRatio*max(power, 1)
 }
--- a/internal/node/gate/site.go
+++ b/internal/node/gate/site.go
@@ -15,43 +15,43 @@
 )
 
 // siteState is the configuration and the availability zones out of service,
-// as the operators' topic says. It never goes back to an older version.
+// according to the operator topic. It never reverts to an older version.
 type siteState struct {
-	mu     sync.Mutex
-	newest map[string]ports.Record // by key
-	next   int64
-	site   ports.Site
-	closed map[string]bool
-	teams  map[string]string // key -> team
-	heard  time.Time         // when the topic was read last
+	mu          sync.Mutex
+	newest      map[string]ports.Record // newest record of each key
+	next        int64                   // offset up to which the topic has been read
+	site        ports.Site
+	closedZones map[string]bool   // availability zones out of service
+	teams       map[string]string // team of each API key
+	lastUpdate  time.Time         // last update from the store or a peer
 }
 
 func newSiteState() *siteState {
-	return &siteState{newest: map[string]ports.Record{}, closed: map[string]bool{}, teams: map[string]string{}}
+	return &siteState{newest: map[string]ports.Record{}, closedZones: map[string]bool{}, teams: map[string]string{}}
 }
 
-// Timing of the operators' topic.
+// Timeouts and intervals of reading the operator topic.
 const (
-	sitePoll    = 2 * time.Second // how long a read waits for a record
-	siteTimeout = time.Second     // in addition to the wait
-	sitePause   = 200 * time.Millisecond
+	siteLongPoll   = 2 * time.Second // maximum wait of a read for new records
+	siteTimeout    = time.Second     // in addition to the wait
+	siteRetryPause = 200 * time.Millisecond
 )
 
-// ready reports whether a configuration is known.
+// ready reports whether a configuration has been read.
 func (s *siteState) ready() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.site.Version > 0
 }
 
-// offset returns the offset up to which the topic has been read.
+// offset returns the offset up to which the operator topic has been read.
 func (s *siteState) offset() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.next
 }
 
-// view returns what the planner has to know.
+// view returns the configuration for the planner.
 func (s *siteState) view() sched.View {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -62,13 +62,13 @@
 	for _, t := range s.site.Teams {
 		v.Teams[t.Name] = sched.Limit{Max: t.Max, Weight: t.Weight}
 	}
-	for az := range s.closed {
+	for az := range s.closedZones {
 		v.Closed[az] = true
 	}
 	return v
 }
 
-// route returns the queue of a call: the one with the longest prefix.
+// route returns the queue with the longest prefix that matches host and path.
 func (s *siteState) route(host, path string) (q sched.Queue, ok bool) {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
@@ -83,7 +83,7 @@
 	return q, ok
 }
 
-// team returns the client account to which a key belongs.
+// team returns the client account of an API key.
 func (s *siteState) team(key string) (string, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -91,31 +91,33 @@
 	return t, ok
 }
 
+// limits returns the configured limits.
 func (s *siteState) limits() ports.Limits {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.site.Limits
 }
 
-// siteLoop follows the operators' topic.
+// siteLoop reads the operator topic.
 func (h *Host) siteLoop(ctx context.Context) {
 	next := int64(-1)
 	for ctx.Err() == nil {
 		var err error
 		next, err = h.readSite(ctx, next)
 		if err != nil {
-			clock.Sleep(ctx, sitePause)
+			clock.Sleep(ctx, siteRetryPause)
 		}
 	}
 }
 
-// readSite reads what is new from the offset on, or everything if it is negative.
+// readSite applies the records from the offset next on, or the newest of each key
+// if next is negative. It returns the next offset.
 func (h *Host) readSite(ctx context.Context, next int64) (int64, error) {
 	if next < 0 {
 		return h.readWholeSite(ctx)
 	}
-	wait := sitePoll
-	if !h.store.ok() {
+	wait := siteLongPoll
+	if !h.store.healthy() {
 		wait = 0
 	}
 	rctx, cancel := context.WithTimeout(ctx, wait+siteTimeout)
@@ -128,17 +130,17 @@
 	if err != nil {
 		return next, err
 	}
-	h.takeSite(page.Records, page.End)
+	h.applySite(page.Records, page.End)
 	for _, r := range page.Records {
 		next = r.Offset + 1
 	}
 	if wait == 0 && len(page.Records) == 0 {
-		clock.Sleep(ctx, sitePause)
+		clock.Sleep(ctx, siteRetryPause)
 	}
 	return next, nil
 }
 
-// readWholeSite reads the newest record of each key.
+// readWholeSite applies the newest record of each key and drops all other keys.
 func (h *Host) readWholeSite(ctx context.Context) (int64, error) {
 	rctx, cancel := context.WithTimeout(ctx, siteTimeout)
 	defer cancel()
@@ -146,31 +148,32 @@
 	if err != nil {
 		return -1, err
 	}
-	h.site.replace(all, end)
-	h.takeSite(all, end)
+	h.site.dropMissing(all, end)
+	h.applySite(all, end)
 	return end, nil
 }
 
-// replace forgets the keys that a full reading does not have any more.
-func (s *siteState) replace(all []ports.Record, end int64) {
+// dropMissing drops the keys that are not in all, the newest record of each key at
+// offset end. It does nothing if the topic has been read beyond end.
+func (s *siteState) dropMissing(all []ports.Record, end int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if end < s.next {
 		return
 	}
-	there := map[string]bool{}
+	present := map[string]bool{}
 	for _, r := range all {
-		there[r.Key] = true
+		present[r.Key] = true
 	}
 	for key := range s.newest {
-		if !there[key] {
+		if !present[key] {
 			delete(s.newest, key)
 		}
 	}
 }
 
-// takeSite takes records of the operators' topic, from the store or a peer.
-func (h *Host) takeSite(records []ports.Record, end int64) {
+// applySite applies records of the operator topic, read from the store or a peer.
+func (h *Host) applySite(records []ports.Record, end int64) {
 	s := h.site
 	s.mu.Lock()
 	changed := false
@@ -180,26 +183,26 @@
 		}
 		s.newest[r.Key] = r
 		changed = true
-		h.takeOperator(s, r)
+		h.applyOperator(s, r)
 	}
 	s.next = max(s.next, end)
-	s.heard = h.clock.Now()
-	closed := map[string]bool{}
+	s.lastUpdate = h.clock.Now()
+	closedZones := map[string]bool{}
 	for key, r := range s.newest {
 		if o := h.cfg.ParseOperator(key); o.Az != "" && len(r.Value) > 0 {
-			closed[o.Az] = true
+			closedZones[o.Az] = true
 		}
 	}
-	changed = changed || len(closed) != len(s.closed)
-	s.closed = closed
+	changed = changed || len(closedZones) != len(s.closedZones)
+	s.closedZones = closedZones
 	s.mu.Unlock()
 	if changed {
 		h.viewChanged()
 	}
 }
 
-// takeOperator takes one record. The caller holds the lock of s.
-func (h *Host) takeOperator(s *siteState, r ports.Record) {
+// applyOperator applies one record. The caller holds s.mu.
+func (h *Host) applyOperator(s *siteState, r ports.Record) {
 	o := h.cfg.ParseOperator(r.Key)
 	switch {
 	case o.Az != "":
@@ -207,7 +210,7 @@
 	case o.Config && len(r.Value) > 0:
 		site, err := h.cfg.ParseSite(r.Value)
 		if err != nil {
-			h.log.Error(err, "configuration ignored", "offset", r.Offset)
+			h.log.Error(err, "ignoring invalid configuration", "offset", r.Offset)
 			return
 		}
 		if site.Version <= s.site.Version {
@@ -224,7 +227,7 @@
 	}
 }
 
-// serveSite answers a peer whose configuration is older.
+// serveSite returns the operator records if the peer's are older.
 func (h *Host) serveSite(_ context.Context, m siteMsg) (siteAnswer, error) {
 	s := h.site
 	s.mu.Lock()
@@ -239,12 +242,12 @@
 	return a, nil
 }
 
-// catchUp takes the configuration of a peer that has a newer one.
-func (h *Host) catchUp(ctx context.Context, addr string) {
+// fetchSite fetches the operator records from a peer that has newer ones.
+func (h *Host) fetchSite(ctx context.Context, addr string) {
 	ctx, cancel := context.WithTimeout(ctx, pingTimeout)
 	defer cancel()
 	a, err := frame.Call(ctx, h.pool, addr, siteMethod, siteMsg{Next: h.site.offset()})
 	if err == nil {
-		h.takeSite(a.Records, a.Next)
+		h.applySite(a.Records, a.Next)
 	}
 }
--- a/internal/node/lead/metrics.go
+++ b/internal/node/lead/metrics.go
@@ -9,15 +9,15 @@
 	"lagooncourse/internal/plat/ports"
 )
 
-// Metrics counts what an owner does. A nil Metrics counts nothing.
+// Metrics holds the metrics of an owner. A nil *Metrics records nothing.
 type Metrics struct {
-	appends *prometheus.HistogramVec
-	starts  *prometheus.HistogramVec
-	holds   *prometheus.CounterVec
-	advices *prometheus.CounterVec
+	appends        *prometheus.HistogramVec
+	starts         *prometheus.HistogramVec
+	heartbeats     *prometheus.CounterVec
+	adviceRequests *prometheus.CounterVec
 }
 
-// latencyBuckets are in seconds, from one round trip to an outage of the store.
+// latencyBuckets range from one round trip to a store outage, in seconds.
 var latencyBuckets = []float64{.002, .005, .01, .02, .05, .1, .25, .5, 1, 2.5, 5, 10}
 
 // NewMetrics registers the metrics of an owner.
@@ -29,41 +29,41 @@
 		starts: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name: "lagooncourse_start_seconds", Help: "Time of an order to start a task.", Buckets: latencyBuckets,
 		}, []string{"outcome"}),
-		holds: prometheus.NewCounterVec(prometheus.CounterOpts{
+		heartbeats: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "lagooncourse_holds_total", Help: "Lease renewals sent to workers.",
 		}, []string{"outcome"}),
-		advices: prometheus.NewCounterVec(prometheus.CounterOpts{
+		adviceRequests: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "lagooncourse_advice_total", Help: "Questions to the advice service.",
 		}, []string{"outcome"}),
 	}
-	reg.MustRegister(m.appends, m.starts, m.holds, m.advices)
+	reg.MustRegister(m.appends, m.starts, m.heartbeats, m.adviceRequests)
 	return m
 }
 
-func (m *Metrics) append(d time.Duration, tries int) {
+func (m *Metrics) observeAppend(d time.Duration, retries int) {
 	if m == nil {
 		return
 	}
 	repeated := "no"
-	if tries > 0 {
+	if retries > 0 {
 		repeated = "yes"
 	}
 	m.appends.WithLabelValues(repeated).Observe(d.Seconds())
 }
 
-func (m *Metrics) start(d time.Duration, err error) {
+func (m *Metrics) observeStart(d time.Duration, err error) {
 	if m != nil {
 		m.starts.WithLabelValues(outcomeLabel(err)).Observe(d.Seconds())
 	}
 }
 
-func (m *Metrics) hold(err error) {
+func (m *Metrics) countHeartbeat(err error) {
 	if m != nil {
-		m.holds.WithLabelValues(outcomeLabel(err)).Inc()
+		m.heartbeats.WithLabelValues(outcomeLabel(err)).Inc()
 	}
 }
 
-func (m *Metrics) advice(ok bool) {
+func (m *Metrics) countAdvice(ok bool) {
 	if m == nil {
 		return
 	}
@@ -71,9 +71,10 @@
 	if !ok {
 		label = "failed"
 	}
-	m.advices.WithLabelValues(label).Inc()
+	m.adviceRequests.WithLabelValues(label).Inc()
 }
 
+// outcomeLabel returns the value of the outcome label.
 func outcomeLabel(err error) string {
 	switch {
 	case err == nil:
