--- a/internal/base/clock/clock.go
+++ b/internal/base/clock/clock.go
@@ -1,8 +1,8 @@
-// Package clock supplies the time to every part whose behaviour depends on it.
+// Package clock provides the current time to code whose behaviour depends on it.
 //
-// Decision logic never calls time.Now. It takes instants as arguments, and the
-// long-running parts take a Clock. Tests give them a Manual clock, so that a
-// test's verdict does not depend on the speed of the machine.
+// Decision logic never calls time.Now: it takes times as arguments, and
+// long-running components take a Clock. Tests pass a Manual clock, so that their
+// results do not depend on the speed of the machine.
 //
 // # Usage
 //
@@ -17,12 +17,12 @@
 	"time"
 )
 
-// A Clock tells the current time.
+// Clock returns the current time.
 type Clock interface {
 	Now() time.Time
 }
 
-// System is the operating system's clock, with its monotonic reading.
+// System is the operating system's clock. Its times have a monotonic reading.
 type System struct{}
 
 var _ Clock = System{}
@@ -30,7 +30,7 @@
 // Now returns the current time.
 func (System) Now() time.Time { return time.Now() }
 
-// Sleep waits for d or until ctx ends.
+// Sleep waits for d or until ctx is done.
 func Sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -40,7 +40,7 @@
 	}
 }
 
-// Manual is a clock that moves only when a test tells it to.
+// Manual is a clock for tests that changes only through Advance.
 type Manual struct {
 	mu  sync.Mutex
 	now time.Time
@@ -48,10 +48,10 @@
 
 var _ Clock = (*Manual)(nil)
 
-// NewManual returns a clock that stands at the instant start.
+// NewManual returns a clock set to start.
 func NewManual(start time.Time) *Manual { return &Manual{now: start} }
 
-// Now returns the instant at which the clock stands.
+// Now returns the time to which the clock is set.
 func (m *Manual) Now() time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/base/polls/polls.go
+++ b/internal/base/polls/polls.go
@@ -1,5 +1,5 @@
-// Package polls lets tests wait for what other goroutines and processes do, up
-// to a stated bound and without fixed sleeps.
+// Package polls lets tests wait, up to a timeout and without fixed sleeps, for the
+// effects of other goroutines and processes.
 //
 // # Usage
 //
@@ -8,22 +8,22 @@
 
 import "time"
 
-// T is the part of a test that Until needs.
+// T is the subset of testing.TB that Until uses.
 type T interface {
 	Helper()
 	Fatalf(format string, args ...any)
 }
 
-const interval = 5 * time.Millisecond
+const pollInterval = 5 * time.Millisecond
 
-// Until polls a condition and fails the test if it does not hold within the
-// bound.
-func Until(t T, bound time.Duration, what string, ok func() bool) {
+// Until polls cond until it returns true, and fails the test after the timeout.
+// The failure message includes what.
+func Until(t T, timeout time.Duration, what string, cond func() bool) {
 	t.Helper()
-	for deadline := time.Now().Add(bound); !ok(); {
+	for deadline := time.Now().Add(timeout); !cond(); {
 		if time.Now().After(deadline) {
-			t.Fatalf("not so within %s: %s", bound, what)
+			t.Fatalf("condition not met within %s: %s", timeout, what)
 		}
-		time.Sleep(interval)
+		time.Sleep(pollInterval)
 	}
 }
--- a/internal/base/seeds/seeds.go
+++ b/internal/base/seeds/seeds.go
@@ -1,31 +1,32 @@
-// Package seeds gives property tests the same seed in every run, so that CI
-// gives the same verdict every time.
+// Package seeds runs property tests with a fixed seed, so that CI results are
+// reproducible.
 //
 // # Usage
 //
 //	func TestMain(m *testing.M) { os.Exit(seeds.Run(m)) }
 //
-// A run with other seeds, or with more cases, is asked for on the command line:
+// Command-line flags select another seed or more cases:
 //
 //	go test ./internal/cell/books -rapid.seed=7 -rapid.checks=100000
 package seeds
 
 import "flag"
 
-// Fixed is the seed of a run that names none.
-const Fixed = "20261204"
+// DefaultSeed is the rapid seed of a run without -rapid.seed.
+const DefaultSeed = "20261204"
 
-// Runner is what a test binary's main function gets.
+// Runner is implemented by *testing.M.
 type Runner interface{ Run() int }
 
-// Run parses the flags, sets the seed unless one is given, and runs the tests.
+// Run parses the flags, sets the default seed unless -rapid.seed is given, and
+// runs the tests.
 func Run(m Runner) int {
 	flag.Parse()
-	given := false
-	flag.Visit(func(f *flag.Flag) { given = given || f.Name == "rapid.seed" })
-	if f := flag.Lookup("rapid.seed"); f != nil && !given {
-		if err := f.Value.Set(Fixed); err != nil {
-			panic(err) // the flag takes every number
+	seedSet := false
+	flag.Visit(func(f *flag.Flag) { seedSet = seedSet || f.Name == "rapid.seed" })
+	if f := flag.Lookup("rapid.seed"); f != nil && !seedSet {
+		if err := f.Value.Set(DefaultSeed); err != nil {
+			panic(err) // unreachable: DefaultSeed is a valid number
 		}
 	}
 	return m.Run()
