--- a/internal/base/conf/conf.go
+++ b/internal/base/conf/conf.go
@@ -1,8 +1,8 @@
 // Package conf reads settings from INI files into structs and checks them.
 //
 // A settings struct has one field for each section, and each section is a
-// struct with one field for each key. The tags of a key say how it is named,
-// what it defaults to, which values are valid and what it means:
+// struct with one field for each key. The field tags give the name, default,
+// valid values and description of a key:
 //
 //	type Settings struct {
 //		Log struct {
@@ -10,9 +10,9 @@
 //		} `ini:"log"`
 //	}
 //
-// Every error names the section, the key and the value, and says what would be
-// valid. An unknown section or key and a key that is set twice are errors, so
-// a misspelt key is never silently ignored. A slice of structs is a section
+// Every error names the section, key and value, and describes the valid values.
+// Unknown sections, unknown keys and keys that are set twice are errors, so a
+// misspelt key is never silently ignored. A slice of structs holds a section
 // that may occur several times, as "[name ID]".
 //
 // # Usage
@@ -37,27 +37,29 @@
 	"lagooncourse/internal/base/fault"
 )
 
-// Checker is implemented by settings with rules that span several keys.
+// Checker is implemented by settings with constraints across several keys. Parse
+// calls Check if every key is valid by itself.
 type Checker interface {
 	Check() error
 }
 
-// Error is one invalid setting.
+// Error describes one invalid setting.
 type Error struct {
 	Section string
 	Key     string
 	Value   string
-	Want    string // what would be valid
+	Want    string // the constraint that the value violates
 }
 
-// Error names the setting, its value and what would be valid.
+// Error returns the setting, its value and the violated constraint.
 func (e *Error) Error() string {
 	return fmt.Sprintf("section [%s], key %q, value %q: %s", e.Section, e.Key, e.Value, e.Want)
 }
 
 var durationType = reflect.TypeFor[time.Duration]()
 
-// Load reads the file. The error joins all that is wrong with it.
+// Load reads settings from the file at path. Its error joins all errors in the
+// file.
 func Load[T any](path string) (s T, err error) {
 	defer fault.Note(&err, "settings %q", path)
 	data, err := os.ReadFile(path)
@@ -76,54 +78,54 @@
 	if err != nil {
 		return s, err
 	}
-	p := &parser{file: file, used: map[string]bool{ini.DefaultSection: true}}
-	p.root(reflect.ValueOf(&s).Elem())
-	p.duplicateSections(data)
-	p.unknownSections()
+	p := &parser{file: file, knownSections: map[string]bool{ini.DefaultSection: true}}
+	p.parseSections(reflect.ValueOf(&s).Elem())
+	p.checkDuplicateSections(data)
+	p.checkUnknownSections()
 	if len(p.errs) == 0 {
 		if c, ok := any(s).(Checker); ok {
-			p.fail(c.Check())
+			p.addError(c.Check())
 		}
 	}
 	return s, errors.Join(p.errs...)
 }
 
 type parser struct {
-	file *ini.File
-	used map[string]bool
-	errs []error
+	file          *ini.File
+	knownSections map[string]bool // names of the sections that the settings struct has fields for
+	errs          []error
 }
 
-func (p *parser) fail(err error) {
+func (p *parser) addError(err error) {
 	if err != nil {
 		p.errs = append(p.errs, err)
 	}
 }
 
-func (p *parser) root(v reflect.Value) {
+func (p *parser) parseSections(v reflect.Value) {
 	t := v.Type()
 	for i := range t.NumField() {
 		name := t.Field(i).Tag.Get("ini")
 		if t.Field(i).Type.Kind() == reflect.Slice {
-			p.repeated(name, v.Field(i))
+			p.parseRepeated(name, v.Field(i))
 			continue
 		}
-		p.used[name] = true
-		p.section(name, v.Field(i))
+		p.knownSections[name] = true
+		p.parseSection(name, v.Field(i))
 	}
 }
 
-// repeated reads all sections "[name ID]". The field with the tag "#id" gets
-// the ID.
-func (p *parser) repeated(name string, v reflect.Value) {
+// parseRepeated parses all sections "[name ID]" into the slice v. The field with
+// the tag "#id" receives the ID.
+func (p *parser) parseRepeated(name string, v reflect.Value) {
 	for _, sec := range p.file.Sections() {
 		id, ok := strings.CutPrefix(sec.Name(), name+" ")
 		if !ok {
 			continue
 		}
-		p.used[sec.Name()] = true
+		p.knownSections[sec.Name()] = true
 		item := reflect.New(v.Type().Elem()).Elem()
-		p.section(sec.Name(), item)
+		p.parseSection(sec.Name(), item)
 		for i := range item.NumField() {
 			if item.Type().Field(i).Tag.Get("ini") == "#id" {
 				item.Field(i).SetString(strings.TrimSpace(id))
@@ -133,9 +135,9 @@
 	}
 }
 
-func (p *parser) section(name string, v reflect.Value) {
+func (p *parser) parseSection(name string, v reflect.Value) {
 	sec := p.file.Section(name)
-	known := map[string]bool{}
+	knownKeys := map[string]bool{}
 	t := v.Type()
 	for i := range t.NumField() {
 		f := t.Field(i)
@@ -143,17 +145,17 @@
 		if key == "#id" {
 			continue
 		}
-		known[key] = true
-		p.key(sec, f, v.Field(i))
+		knownKeys[key] = true
+		p.parseKey(sec, f, v.Field(i))
 	}
 	for _, k := range sec.Keys() {
-		if !known[k.Name()] {
-			p.fail(&Error{Section: name, Key: k.Name(), Value: k.Value(), Want: "is not a known key; known are " + strings.Join(keysOf(t), ", ")})
+		if !knownKeys[k.Name()] {
+			p.addError(&Error{Section: name, Key: k.Name(), Value: k.Value(), Want: "is not a known key; known are " + strings.Join(keyNames(t), ", ")})
 		}
 	}
 }
 
-func keysOf(t reflect.Type) []string {
+func keyNames(t reflect.Type) []string {
 	var keys []string
 	for i := range t.NumField() {
 		if k := t.Field(i).Tag.Get("ini"); k != "#id" {
@@ -163,31 +165,31 @@
 	return keys
 }
 
-func (p *parser) key(sec *ini.Section, f reflect.StructField, v reflect.Value) {
+func (p *parser) parseKey(sec *ini.Section, f reflect.StructField, v reflect.Value) {
 	name := f.Tag.Get("ini")
 	text, set := f.Tag.Get("def"), false
 	if sec.HasKey(name) {
 		k := sec.Key(name)
 		if n := len(k.ValueWithShadows()); n > 1 {
-			p.fail(&Error{Section: sec.Name(), Key: name, Value: strings.Join(k.ValueWithShadows(), " and "), Want: "is set more than once"})
+			p.addError(&Error{Section: sec.Name(), Key: name, Value: strings.Join(k.ValueWithShadows(), " and "), Want: "is set more than once"})
 			return
 		}
 		text, set = k.Value(), true
 	}
 	if text == "" {
 		if f.Tag.Get("required") == "true" {
-			p.fail(&Error{Section: sec.Name(), Key: name, Want: "must be set: " + f.Tag.Get("doc")})
+			p.addError(&Error{Section: sec.Name(), Key: name, Want: "must be set: " + f.Tag.Get("doc")})
 		}
 		if !set || f.Type.Kind() == reflect.String {
 			return
 		}
 	}
 	if err := assign(v, text, f.Tag); err != nil {
-		p.fail(&Error{Section: sec.Name(), Key: name, Value: text, Want: err.Error()})
+		p.addError(&Error{Section: sec.Name(), Key: name, Value: text, Want: err.Error()})
 	}
 }
 
-// assign parses text into v and checks the range that the tags give.
+// assign parses text into v and checks it against the tags min, max and oneof.
 func assign(v reflect.Value, text string, tag reflect.StructTag) error {
 	if v.Type() == durationType {
 		d, err := time.ParseDuration(text)
@@ -226,7 +228,7 @@
 		v.Set(reflect.ValueOf(splitList(text)))
 		return nil
 	}
-	panic("conf: no rule for a setting of type " + v.Type().String())
+	panic("conf: unsupported setting type " + v.Type().String())
 }
 
 func splitList(text string) []string {
@@ -261,20 +263,20 @@
 	return nil
 }
 
-func (p *parser) unknownSections() {
+func (p *parser) checkUnknownSections() {
 	for _, sec := range p.file.Sections() {
-		if !p.used[sec.Name()] {
-			p.fail(&Error{Section: sec.Name(), Want: "is not a known section"})
+		if !p.knownSections[sec.Name()] {
+			p.addError(&Error{Section: sec.Name(), Want: "is not a known section"})
 		}
 	}
 	for _, k := range p.file.Section(ini.DefaultSection).Keys() {
-		p.fail(&Error{Section: "", Key: k.Name(), Value: k.Value(), Want: "stands before the first section"})
+		p.addError(&Error{Section: "", Key: k.Name(), Value: k.Value(), Want: "appears before the first section"})
 	}
 }
 
-// duplicateSections finds sections that occur twice, which the INI library
-// would merge.
-func (p *parser) duplicateSections(data []byte) {
+// checkDuplicateSections reports sections that occur more than once. The INI
+// library would merge them.
+func (p *parser) checkDuplicateSections(data []byte) {
 	seen := map[string]bool{}
 	for _, line := range bytes.Split(data, []byte("\n")) {
 		s := strings.TrimSpace(string(line))
@@ -283,13 +285,13 @@
 		}
 		name := strings.TrimSpace(s[1 : len(s)-1])
 		if seen[name] {
-			p.fail(&Error{Section: name, Want: "occurs more than once"})
+			p.addError(&Error{Section: name, Want: "occurs more than once"})
 		}
 		seen[name] = true
 	}
 }
 
-// Print writes the effective settings in INI form.
+// Print writes the settings struct s in INI format.
 func Print(w io.Writer, s any) {
 	v := reflect.ValueOf(s)
 	for i := range v.NumField() {
@@ -300,12 +302,12 @@
 		}
 		for j := range v.Field(i).Len() {
 			item := v.Field(i).Index(j)
-			printSection(w, name+" "+idOf(item), item)
+			printSection(w, name+" "+sectionID(item), item)
 		}
 	}
 }
 
-func idOf(v reflect.Value) string {
+func sectionID(v reflect.Value) string {
 	for i := range v.NumField() {
 		if v.Type().Field(i).Tag.Get("ini") == "#id" {
 			return v.Field(i).String()
@@ -331,18 +333,19 @@
 	return fmt.Sprint(v.Interface())
 }
 
-// Document writes a Markdown table of every key of the settings type T.
+// Document writes a Markdown table of the keys of each section of the settings
+// type T.
 func Document[T any](w io.Writer) {
 	t := reflect.TypeFor[T]()
 	for i := range t.NumField() {
 		f := t.Field(i)
-		name, st := f.Tag.Get("ini"), f.Type
-		if st.Kind() == reflect.Slice {
-			name, st = name+" NAME", st.Elem()
+		name, sectionType := f.Tag.Get("ini"), f.Type
+		if sectionType.Kind() == reflect.Slice {
+			name, sectionType = name+" NAME", sectionType.Elem()
 		}
 		fmt.Fprintf(w, "### [%s]\n\n| key | default | valid | meaning |\n| --- | --- | --- | --- |\n", name)
-		for j := range st.NumField() {
-			documentKey(w, st.Field(j))
+		for j := range sectionType.NumField() {
+			documentKey(w, sectionType.Field(j))
 		}
 		fmt.Fprintln(w)
 	}
--- a/internal/base/conf/conf_test.go
+++ b/internal/base/conf/conf_test.go
@@ -31,8 +31,8 @@
 
 const wantPrefix = "; want: "
 
-// TestFiles parses every file in testdata. Each line "; want: TEXT" names an
-// error that the parser must report; a file without one must be valid.
+// TestFiles parses every file in testdata. Each line "; want: TEXT" gives text of
+// an error that Parse must report; a file without such lines must be valid.
 func TestFiles(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.ini")
 	assert.NilError(t, err)
@@ -41,23 +41,23 @@
 		t.Run(filepath.Base(path), func(t *testing.T) {
 			data, err := os.ReadFile(path)
 			assert.NilError(t, err)
-			wants := wantsOf(string(data))
+			want := wantErrors(string(data))
 			_, err = Parse[testSettings](data)
-			if len(wants) == 0 {
+			if len(want) == 0 {
 				assert.NilError(t, err)
 				return
 			}
-			assert.Assert(t, err != nil, "no error, want %q", wants)
+			assert.Assert(t, err != nil, "no error, want %q", want)
 			got := strings.Split(err.Error(), "\n")
-			assert.Equal(t, len(got), len(wants), "errors: %q", got)
-			for _, w := range wants {
+			assert.Equal(t, len(got), len(want), "errors: %q", got)
+			for _, w := range want {
 				assert.Assert(t, strings.Contains(err.Error(), w), "errors %q lack %q", got, w)
 			}
 		})
 	}
 }
 
-func wantsOf(text string) []string {
+func wantErrors(text string) []string {
 	var wants []string
 	for _, line := range strings.Split(text, "\n") {
 		if w, ok := strings.CutPrefix(line, wantPrefix); ok {
@@ -67,7 +67,7 @@
 	return wants
 }
 
-// TestPrint checks that the effective settings can be read again.
+// TestPrint checks that Parse reads the output of Print back to equal settings.
 func TestPrint(t *testing.T) {
 	s, err := Parse[testSettings]([]byte("[host]\nid = a\nlist = x, y\n[item b]\nsize = 4\n"))
 	assert.NilError(t, err)
@@ -80,7 +80,7 @@
 	assert.Equal(t, again.Items[0].Name, "b")
 }
 
-// FuzzParse checks that no file makes the parser panic.
+// FuzzParse checks that Parse does not panic on any input.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte("[host]\nid = a\n"))
 	f.Fuzz(func(_ *testing.T, data []byte) { _, _ = Parse[testSettings](data) })
