--- a/internal/base/fault/fault.go
+++ b/internal/base/fault/fault.go
@@ -1,21 +1,20 @@
 // Package fault defines the errors that cross a boundary of the system: from an
-// entry host to a caller, between two entry hosts, or from a platform adapter.
+// entry host to a client, between two entry hosts, or from a platform adapter.
 //
-// The most important thing an error says is whether the request took effect.
-// Three answers exist. NotRun is a promise: the request had no effect and never
-// will. Done says that it took effect. Unknown is everything else, and is
-// never turned into NotRun later: a sender that cannot prove that no byte of
-// its request left has to answer Unknown.
+// Each error reports whether the request took effect. NotRun guarantees that the
+// request had no effect and never will. Done means that it took effect. Unknown
+// covers every other case and is never changed to NotRun later. A sender must
+// report Unknown unless no byte of its request can have been sent.
 //
 // # Usage
 //
 //	func (c *Client) Load(ctx context.Context) (err error) {
 //		defer fault.Note(&err, "load plan %q", c.team)
 //		...
-//		return fault.New(fault.Unavailable, fault.NotRun, "log does not answer")
+//		return fault.New(fault.Unavailable, fault.NotRun, "log does not respond")
 //	}
 //
-// An error that wraps several causes is reduced to its *Error with From.
+// From extracts the *Error from a wrapped error.
 package fault
 
 import (
@@ -26,20 +25,20 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// Outcome says whether a request took effect.
+// Outcome reports whether a request took effect.
 type Outcome string
 
-// The three outcomes. The zero value is not valid on its own and reads as Unknown.
+// Outcomes of a request. RanOf reports an empty outcome as Unknown.
 const (
 	Done    Outcome = "done"
 	NotRun  Outcome = "notRun"
 	Unknown Outcome = "unknown"
 )
 
-// Code classifies an error. It decides the HTTP status.
+// Code classifies an error and determines the HTTP status.
 type Code string
 
-// The codes, in the order of their HTTP status.
+// Error codes, in the order of their HTTP status.
 const (
 	BadInput    Code = "badInput"    // 400
 	NoKey       Code = "noKey"       // 401
@@ -65,20 +64,20 @@
 	Timeout: http.StatusGatewayTimeout,
 }
 
-// Error is a typed error. It is encoded in frames and, as a problem document
-// of RFC 9457, in HTTP answers.
+// Error is an error with a code and an outcome. It is sent in frames and, as an
+// RFC 9457 problem document, in HTTP responses.
 type Error struct {
 	Code       Code    `json:"code"`
 	Ran        Outcome `json:"ran"`
 	Detail     string  `json:"detail"`
 	Field      string  `json:"field,omitempty"`      // the rejected field of the input
 	Value      string  `json:"value,omitempty"`      // the rejected value
-	RetryAfter int     `json:"retryAfter,omitempty"` // seconds; 0 gives no advice
+	RetryAfter int     `json:"retryAfter,omitempty"` // seconds; 0 means unspecified
 }
 
 var _ error = (*Error)(nil)
 
-// Error returns the detail with the field and value that it is about.
+// Error returns the detail, prefixed with the rejected field and value if set.
 func (e *Error) Error() string {
 	if e.Field == "" {
 		return e.Detail
@@ -94,7 +93,8 @@
 	return http.StatusInternalServerError
 }
 
-// WithRetryAfter returns a copy that advises a retry after the given seconds.
+// WithRetryAfter returns a copy of e that asks the caller to retry after the given
+// number of seconds.
 func (e *Error) WithRetryAfter(seconds int) *Error {
 	c := *e
 	c.RetryAfter = seconds
@@ -102,12 +102,12 @@
 }
 
 // New returns an error with the given code, outcome and detail.
-func New(code Code, ran Outcome, format string, args ...any) *Error {
-	return &Error{Code: code, Ran: ran, Detail: fmt.Sprintf(format, args...)}
+func New(code Code, outcome Outcome, format string, args ...any) *Error {
+	return &Error{Code: code, Ran: outcome, Detail: fmt.Sprintf(format, args...)}
 }
 
-// Field returns a BadInput error about one field of a request. The request did
-// not run.
+// Field returns a BadInput error for one field of a request, with the outcome
+// NotRun.
 func Field(field string, value any, format string, args ...any) *Error {
 	return &Error{
 		Code: BadInput, Ran: NotRun, Field: field,
@@ -115,9 +115,9 @@
 	}
 }
 
-// From returns the *Error inside err. An error of another type becomes
-// Internal and Unknown, because nothing is known about what it left behind.
-// From(nil) is nil.
+// From returns the *Error that err wraps. For any other error it returns an
+// Internal error with the outcome Unknown, because the request may have taken
+// effect. From(nil) is nil.
 func From(err error) *Error {
 	if err == nil {
 		return nil
@@ -129,7 +129,7 @@
 	return &Error{Code: Internal, Ran: Unknown, Detail: err.Error()}
 }
 
-// RanOf returns the outcome that err reports; Done for nil.
+// RanOf returns the outcome that err reports, and Done for nil.
 func RanOf(err error) Outcome {
 	if err == nil {
 		return Done
@@ -140,14 +140,14 @@
 	return Unknown
 }
 
-// Is reports whether err carries the given code.
+// Is reports whether err wraps an *Error with the given code.
 func Is(err error, code Code) bool {
 	var e *Error
 	return errors.As(err, &e) && e.Code == code
 }
 
-// Note prefixes *err, if it is set, with what was being done. It is meant for
-// one deferred call a function.
+// Note prefixes a non-nil *err with a description of the failed operation. It is
+// meant to be deferred once per function.
 func Note(err *error, format string, args ...any) {
 	if *err != nil {
 		*err = merry.Prependf(*err, format, args...)
