--- a/internal/base/frame/client.go
+++ b/internal/base/frame/client.go
@@ -13,92 +13,93 @@
 	"lagooncourse/internal/base/fault"
 )
 
-// PoolConfig describes a Pool.
+// PoolConfig configures a Pool.
 type PoolConfig struct {
 	DialTimeout time.Duration // 0 means 500 ms
 }
 
 const defaultDialTimeout = 500 * time.Millisecond
 
-// Pool keeps one connection for each peer address and dials again after a
-// connection has failed.
+// Pool keeps one connection per peer address and redials after a connection
+// has failed.
 type Pool struct {
-	cfg   PoolConfig
-	bytes Traffic
-	late  atomic.Int64
+	cfg           PoolConfig
+	traffic       Traffic
+	lateResponses atomic.Int64
 
-	mu     sync.Mutex
-	links  map[string]*link
-	cut    map[string]bool
-	closed bool
+	mu      sync.Mutex
+	conns   map[string]*clientConn
+	blocked map[string]bool
+	closed  bool
 }
 
-// NewPool returns a pool without connections.
+// NewPool returns an empty pool. Connections are dialed by the first call.
 func NewPool(cfg PoolConfig) *Pool {
 	if cfg.DialTimeout == 0 {
 		cfg.DialTimeout = defaultDialTimeout
 	}
-	return &Pool{cfg: cfg, links: map[string]*link{}, cut: map[string]bool{}}
+	return &Pool{cfg: cfg, conns: map[string]*clientConn{}, blocked: map[string]bool{}}
 }
 
 // Traffic returns the pool's byte counters.
-func (p *Pool) Traffic() *Traffic { return &p.bytes }
+func (p *Pool) Traffic() *Traffic { return &p.traffic }
 
-// Late returns how many answers arrived after their caller had given up.
-func (p *Pool) Late() int64 { return p.late.Load() }
+// LateResponses returns the number of responses that arrived after their call had
+// timed out or been cancelled.
+func (p *Pool) LateResponses() int64 { return p.lateResponses.Load() }
 
-// Cut drops the connection to addr and refuses new ones until Cut(addr, false).
-// Failure tests use it to stand for a broken network path.
+// Cut closes the connection to addr and refuses to dial addr until
+// Cut(addr, false). Fault-injection tests use it to simulate a network partition.
 func (p *Pool) Cut(addr string, on bool) {
 	p.mu.Lock()
-	p.cut[addr] = on
-	l := p.links[addr]
+	p.blocked[addr] = on
+	cc := p.conns[addr]
 	if on {
-		delete(p.links, addr)
+		delete(p.conns, addr)
 	}
 	p.mu.Unlock()
-	if on && l != nil {
-		l.fail()
+	if on && cc != nil {
+		cc.shutdown()
 	}
 }
 
-// Drop closes the connection to addr, if there is one. The next call dials.
+// Drop closes the connection to addr, if there is one. The next call redials.
 func (p *Pool) Drop(addr string) {
 	p.mu.Lock()
-	l := p.links[addr]
+	cc := p.conns[addr]
 	p.mu.Unlock()
-	if l != nil {
-		l.fail()
+	if cc != nil {
+		cc.shutdown()
 	}
 }
 
-// Close drops every connection. Later calls fail with NotRun.
+// Close closes every connection. Later calls fail with NotRun.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	p.closed = true
-	links := p.links
-	p.links = map[string]*link{}
+	conns := p.conns
+	p.conns = map[string]*clientConn{}
 	p.mu.Unlock()
-	for _, l := range links {
-		l.fail()
+	for _, cc := range conns {
+		cc.shutdown()
 	}
 }
 
-// link is one connection with the calls that wait on it.
-type link struct {
-	pool *Pool
-	addr string
-	dial sync.Once
-	w    connWriter
-	err  error
+// clientConn is one connection and the calls that wait for a response on it.
+type clientConn struct {
+	pool     *Pool
+	addr     string
+	dialOnce sync.Once
+	w        connWriter
+	err      error
 
 	mu      sync.Mutex
 	nextID  uint64
-	waiting map[uint64]chan answer
-	down    bool
+	pending map[uint64]chan response
+	closed  bool
 }
 
-// Call sends req to the entry host at addr and waits for its answer.
+// Call sends req to the entry host at addr and waits for the response.
 func Call[Req, Resp any](ctx context.Context, p *Pool, addr string, m Method[Req, Resp], req Req) (resp Resp, err error) {
 	body, err := Encode(req)
 	if err != nil {
@@ -116,49 +117,50 @@
 }
 
 func (p *Pool) call(ctx context.Context, addr string, method uint16, body []byte) ([]byte, error) {
-	l, err := p.link(addr)
+	cc, err := p.conn(addr)
 	if err != nil {
 		return nil, err
 	}
-	id, ch := l.register()
+	id, ch := cc.register()
 	if ch == nil {
-		return nil, fault.New(fault.Unavailable, fault.NotRun, "connection to %s is down", addr)
+		return nil, fault.New(fault.Unavailable, fault.NotRun, "connection to %s is closed", addr)
 	}
-	defer l.forget(id)
-	data, err := appendFrame(request{ID: id, Method: method, WaitMs: waitMs(ctx), Body: msgpack.RawMessage(body)})
+	defer cc.unregister(id)
+	data, err := encodeFrame(request{ID: id, Method: method, TimeoutMs: remainingMs(ctx), Body: msgpack.RawMessage(body)})
 	if err != nil {
 		return nil, err
 	}
 	if err := ctx.Err(); err != nil {
 		return nil, fault.New(fault.Timeout, fault.NotRun, "call to %s: %v", addr, err)
 	}
-	n, err := l.w.write(data)
-	p.bytes.add(method, Bytes{Out: int64(n)})
+	n, err := cc.w.write(data)
+	p.traffic.add(method, Bytes{Out: int64(n)})
 	if err != nil {
-		l.fail()
-		ran := fault.Unknown
+		cc.shutdown()
+		outcome := fault.Unknown
 		if n == 0 {
-			ran = fault.NotRun
+			outcome = fault.NotRun
 		}
-		return nil, fault.New(fault.Unavailable, ran, "send to %s: %v", addr, err)
+		return nil, fault.New(fault.Unavailable, outcome, "send to %s: %v", addr, err)
 	}
 	select {
-	case a, ok := <-ch:
+	case resp, ok := <-ch:
 		if !ok {
-			return nil, fault.New(fault.Unavailable, fault.Unknown, "connection to %s broke before the answer", addr)
+			return nil, fault.New(fault.Unavailable, fault.Unknown, "connection to %s closed before the response arrived", addr)
 		}
-		p.bytes.add(method, Bytes{In: int64(len(a.Body) + lengthBytes)})
-		if a.Err != nil {
-			return nil, a.Err
+		p.traffic.add(method, Bytes{In: int64(len(resp.Body) + lengthPrefixBytes)})
+		if resp.Err != nil {
+			return nil, resp.Err
 		}
-		return a.Body, nil
+		return resp.Body, nil
 	case <-ctx.Done():
-		return nil, fault.New(fault.Timeout, fault.Unknown, "no answer from %s: %v", addr, ctx.Err())
+		return nil, fault.New(fault.Timeout, fault.Unknown, "no response from %s: %v", addr, ctx.Err())
 	}
 }
 
-// waitMs returns the milliseconds left in ctx; 0 for a context without deadline.
-func waitMs(ctx context.Context) int64 {
+// remainingMs returns the milliseconds until the deadline of ctx, at least 1, or
+// 0 if ctx has no deadline.
+func remainingMs(ctx context.Context) int64 {
 	d, ok := ctx.Deadline()
 	if !ok {
 		return 0
@@ -166,117 +168,120 @@
 	return max(time.Until(d).Milliseconds(), 1)
 }
 
-// link returns the connection for addr and dials it, unless a live one exists.
-// Callers that arrive during the dial wait for it.
-func (p *Pool) link(addr string) (*link, error) {
+// conn returns the open connection to addr, dialing it if there is none.
+// Concurrent callers wait for the same dial.
+func (p *Pool) conn(addr string) (*clientConn, error) {
 	p.mu.Lock()
-	if p.closed || p.cut[addr] {
+	if p.closed || p.blocked[addr] {
 		p.mu.Unlock()
-		return nil, fault.New(fault.Unavailable, fault.NotRun, "no connection to %s", addr)
+		return nil, fault.New(fault.Unavailable, fault.NotRun, "connections to %s are blocked or the pool is closed", addr)
 	}
-	l := p.links[addr]
-	if l == nil {
-		l = &link{pool: p, addr: addr, waiting: map[uint64]chan answer{}}
-		p.links[addr] = l
+	cc := p.conns[addr]
+	if cc == nil {
+		cc = &clientConn{pool: p, addr: addr, pending: map[uint64]chan response{}}
+		p.conns[addr] = cc
 	}
 	p.mu.Unlock()
-	l.dial.Do(l.open)
-	if l.err != nil {
-		p.drop(l)
-		return nil, fault.New(fault.Unavailable, fault.NotRun, "dial %s: %v", addr, l.err)
+	cc.dialOnce.Do(cc.connect)
+	if cc.err != nil {
+		p.remove(cc)
+		return nil, fault.New(fault.Unavailable, fault.NotRun, "dial %s: %v", addr, cc.err)
 	}
-	return l, nil
+	return cc, nil
 }
 
-// drop removes the link, unless another has taken its place.
-func (p *Pool) drop(l *link) {
+// remove deletes cc from the pool unless a newer connection has replaced it.
+func (p *Pool) remove(cc *clientConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.links[l.addr] == l {
-		delete(p.links, l.addr)
+	if p.conns[cc.addr] == cc {
+		delete(p.conns, cc.addr)
 	}
 }
 
-func (l *link) open() {
-	c, err := net.DialTimeout("tcp", l.addr, l.pool.cfg.DialTimeout)
+func (cc *clientConn) connect() {
+	c, err := net.DialTimeout("tcp", cc.addr, cc.pool.cfg.DialTimeout)
 	if err != nil {
-		l.err = err
+		cc.err = err
 		return
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.down {
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
+	if cc.closed {
 		c.Close()
-		l.err = net.ErrClosed
+		cc.err = net.ErrClosed
 		return
 	}
-	l.w.c = c
-	go l.read(c)
+	cc.w.c = c
+	go cc.readResponses(c)
 }
 
-// read hands each answer to the call that waits for its id.
-func (l *link) read(c net.Conn) {
-	defer l.fail()
+// readResponses delivers each response to the call with the same ID, until the
+// connection fails.
+func (cc *clientConn) readResponses(c net.Conn) {
+	defer cc.shutdown()
 	r := bufio.NewReader(c)
 	for {
 		body, err := readFrame(r)
 		if err != nil {
 			return
 		}
-		a, err := Decode[answer](body)
+		resp, err := Decode[response](body)
 		if err != nil {
 			return
 		}
-		if !l.deliver(a) {
-			l.pool.late.Add(1)
+		if !cc.deliver(resp) {
+			cc.pool.lateResponses.Add(1)
 		}
 	}
 }
 
-func (l *link) deliver(a answer) bool {
-	l.mu.Lock()
-	ch, ok := l.waiting[a.ID]
-	delete(l.waiting, a.ID)
-	l.mu.Unlock()
+// deliver reports whether a call was waiting for resp.
+func (cc *clientConn) deliver(resp response) bool {
+	cc.mu.Lock()
+	ch, ok := cc.pending[resp.ID]
+	delete(cc.pending, resp.ID)
+	cc.mu.Unlock()
 	if ok {
-		ch <- a
+		ch <- resp
 	}
 	return ok
 }
 
-// register reserves an id; the channel is nil when the link is down.
-func (l *link) register() (uint64, chan answer) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.down {
+// register allocates a request ID and the channel for its response. The channel
+// is nil if the connection is closed.
+func (cc *clientConn) register() (uint64, chan response) {
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
+	if cc.closed {
 		return 0, nil
 	}
-	l.nextID++
-	ch := make(chan answer, 1)
-	l.waiting[l.nextID] = ch
-	return l.nextID, ch
+	cc.nextID++
+	ch := make(chan response, 1)
+	cc.pending[cc.nextID] = ch
+	return cc.nextID, ch
 }
 
-func (l *link) forget(id uint64) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	delete(l.waiting, id)
+func (cc *clientConn) unregister(id uint64) {
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
+	delete(cc.pending, id)
 }
 
-// fail closes the connection and wakes every waiting call.
-func (l *link) fail() {
-	l.pool.drop(l)
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.down {
+// shutdown closes the connection and fails every pending call.
+func (cc *clientConn) shutdown() {
+	cc.pool.remove(cc)
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
+	if cc.closed {
 		return
 	}
-	l.down = true
-	if l.w.c != nil {
-		l.w.c.Close()
+	cc.closed = true
+	if cc.w.c != nil {
+		cc.w.c.Close()
 	}
-	for id, ch := range l.waiting {
+	for id, ch := range cc.pending {
 		close(ch)
-		delete(l.waiting, id)
+		delete(cc.pending, id)
 	}
 }
--- a/internal/base/frame/frame.go
+++ b/internal/base/frame/frame.go
@@ -1,15 +1,15 @@
-// Package frame carries requests between entry hosts: msgpack messages in
-// length-prefixed frames over one TCP connection a pair of hosts.
+// Package frame is the RPC protocol between entry hosts: msgpack messages in
+// length-prefixed frames over TCP. Each host keeps one connection to each peer.
 //
-// A frame is a 4-byte big-endian length and that many bytes of msgpack. Each
-// request carries an id and the time that its caller is still prepared to
-// wait, and each answer repeats the id. An answer to an id that nobody waits
-// for is dropped and counted, so a late answer never reaches another request.
-// A connection on which anything unexpected happened is closed, not reused.
+// A frame is a 4-byte big-endian length followed by that many bytes of msgpack.
+// A request carries an ID and the remaining time until its caller's deadline;
+// the response carries the same ID. A response without a pending call is dropped
+// and counted, so a late response is never delivered to another call. A
+// connection is closed after a read, write or decoding error.
 //
-// The error of a failed Call says truthfully whether the request may have run:
-// NotRun as long as no byte of it was handed to the connection, and Unknown
-// from then on, unless the peer itself answered.
+// The error of a failed Call reports whether the request may have run: NotRun if
+// no byte was written to the connection, Unknown once any byte was written. An
+// error that the peer returned carries the peer's own outcome.
 //
 // # Usage
 //
@@ -34,34 +34,34 @@
 	"lagooncourse/internal/base/fault"
 )
 
-// MaxFrameBytes bounds the body of one frame.
+// MaxFrameBytes is the maximum size of a frame body.
 const MaxFrameBytes = 16 << 20
 
-const lengthBytes = 4
+const lengthPrefixBytes = 4
 
-// A Method names one request type and the answer that belongs to it.
+// Method identifies an RPC method and its request and response types.
 type Method[Req, Resp any] struct {
 	ID   uint16 // unique in the process
 	Name string // for errors and metrics
 }
 
-// request is the head and body of a request frame.
+// request is the content of a request frame.
 type request struct {
-	ID     uint64
-	Method uint16
-	WaitMs int64 // milliseconds that the caller still waits
-	Body   msgpack.RawMessage
+	ID        uint64
+	Method    uint16
+	TimeoutMs int64 // milliseconds until the caller's deadline; 0 means no deadline
+	Body      msgpack.RawMessage
 }
 
-// answer is the head and body of an answer frame.
-type answer struct {
+// response is the content of a response frame.
+type response struct {
 	ID   uint64
 	Err  *fault.Error
 	Body msgpack.RawMessage
 }
 
-// Encode returns the msgpack form of v, with structs as arrays and compact
-// integers. A struct's fields are therefore identified by their place.
+// Encode returns the msgpack encoding of v, with structs as arrays and numbers
+// in their shortest form. A struct field is therefore identified by its position.
 func Encode(v any) (data []byte, err error) {
 	defer fault.Note(&err, "encode %T", v)
 	var buf bytes.Buffer
@@ -75,7 +75,7 @@
 	return buf.Bytes(), nil
 }
 
-// Decode parses the msgpack form of a T and rejects trailing bytes.
+// Decode parses a msgpack-encoded T and rejects trailing bytes.
 func Decode[T any](data []byte) (v T, err error) {
 	defer fault.Note(&err, "decode %T", v)
 	r := bytes.NewReader(data)
@@ -83,34 +83,34 @@
 		return v, merry.Wrap(err)
 	}
 	if r.Len() > 0 {
-		return v, merry.Errorf("%d bytes after the value", r.Len())
+		return v, merry.Errorf("%d trailing bytes after the msgpack value", r.Len())
 	}
 	return v, nil
 }
 
-// appendFrame returns the frame that carries v.
-func appendFrame(v any) (data []byte, err error) {
+// encodeFrame returns v as a frame.
+func encodeFrame(v any) (data []byte, err error) {
 	body, err := Encode(v)
 	if err != nil {
 		return nil, err
 	}
 	if len(body) > MaxFrameBytes {
-		return nil, fault.New(fault.TooLarge, fault.NotRun, "frame of %d bytes exceeds %d", len(body), MaxFrameBytes)
+		return nil, fault.New(fault.TooLarge, fault.NotRun, "frame of %d bytes exceeds the maximum of %d bytes", len(body), MaxFrameBytes)
 	}
-	data = binary.BigEndian.AppendUint32(make([]byte, 0, lengthBytes+len(body)), uint32(len(body)))
+	data = binary.BigEndian.AppendUint32(make([]byte, 0, lengthPrefixBytes+len(body)), uint32(len(body)))
 	return append(data, body...), nil
 }
 
-// readFrame reads one frame's body. It allocates no more than the bytes that
-// have arrived, so a forged length costs nothing.
+// readFrame reads the body of one frame. Its buffer grows as bytes arrive, so a
+// forged length does not cause a large allocation.
 func readFrame(r io.Reader) (body []byte, err error) {
-	var head [lengthBytes]byte
-	if _, err := io.ReadFull(r, head[:]); err != nil {
+	var prefix [lengthPrefixBytes]byte
+	if _, err := io.ReadFull(r, prefix[:]); err != nil {
 		return nil, err
 	}
-	n := int64(binary.BigEndian.Uint32(head[:]))
+	n := int64(binary.BigEndian.Uint32(prefix[:]))
 	if n > MaxFrameBytes {
-		return nil, merry.Errorf("frame of %d bytes exceeds %d", n, int64(MaxFrameBytes))
+		return nil, merry.Errorf("frame of %d bytes exceeds the maximum of %d bytes", n, int64(MaxFrameBytes))
 	}
 	var buf bytes.Buffer
 	if _, err := io.CopyN(&buf, r, n); err != nil {
@@ -119,7 +119,7 @@
 	return buf.Bytes(), nil
 }
 
-// Traffic counts the bytes of one side of the protocol, by method.
+// Traffic counts the bytes that a client or server sent and received, by method.
 type Traffic struct {
 	mu       sync.Mutex
 	byMethod map[uint16]Bytes
@@ -143,7 +143,7 @@
 	t.byMethod[method] = t.byMethod[method].Plus(b)
 }
 
-// ByMethod returns the bytes so far, by method id.
+// ByMethod returns the bytes counted so far, by method ID.
 func (t *Traffic) ByMethod() map[uint16]Bytes {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/base/frame/frame_test.go
+++ b/internal/base/frame/frame_test.go
@@ -16,40 +16,40 @@
 )
 
 type echoMsg struct {
-	Text string
-	Hold bool
+	Text  string
+	Block bool
 }
 
 var echo = Method[echoMsg, echoMsg]{ID: 1, Name: "echo"}
 
-// startServer returns a server that echoes, and holds marked requests until
-// the returned function is called.
-func startServer(t *testing.T) (s *Server, letGo func()) {
+// startServer returns an echo server. A request with Block set waits until
+// release is called; a request with the text "reject" fails.
+func startServer(t *testing.T) (s *Server, release func()) {
 	t.Helper()
 	s = NewServer(ServerConfig{Addr: "127.0.0.1:0"})
-	held := make(chan struct{})
+	blocked := make(chan struct{})
 	Handle(s, echo, func(_ context.Context, m echoMsg) (echoMsg, error) {
-		if m.Hold {
-			<-held
+		if m.Block {
+			<-blocked
 		}
-		if m.Text == "refuse" {
-			return m, fault.Field("text", m.Text, "is refused")
+		if m.Text == "reject" {
+			return m, fault.Field("text", m.Text, "is rejected")
 		}
 		return m, nil
 	})
 	assert.NilError(t, s.Listen())
 	var once sync.Once
-	letGo = func() { once.Do(func() { close(held) }) }
+	release = func() { once.Do(func() { close(blocked) }) }
 	t.Cleanup(func() {
-		letGo()
+		release()
 		s.Close()
 	})
-	return s, letGo
+	return s, release
 }
 
-// TestOwnAnswers checks that many calls on one connection each get their own
-// answer, whatever the order.
-func TestOwnAnswers(t *testing.T) {
+// TestConcurrentCalls checks that concurrent calls on one connection each
+// receive the response to their own request.
+func TestConcurrentCalls(t *testing.T) {
 	s, _ := startServer(t)
 	p := NewPool(PoolConfig{})
 	defer p.Close()
@@ -68,29 +68,29 @@
 	wg.Wait()
 }
 
-// TestOutcomes checks what a failed call says about whether it ran.
-func TestOutcomes(t *testing.T) {
-	s, letGo := startServer(t)
+// TestCallOutcomes checks which outcome a failed call reports.
+func TestCallOutcomes(t *testing.T) {
+	s, release := startServer(t)
 	p := NewPool(PoolConfig{})
 	defer p.Close()
 	ctx := context.Background()
-	_, err := Call(ctx, p, s.Addr(), echo, echoMsg{Text: "refuse"})
+	_, err := Call(ctx, p, s.Addr(), echo, echoMsg{Text: "reject"})
 	assert.Equal(t, fault.From(err).Field, "text")
 	assert.Equal(t, fault.RanOf(err), fault.NotRun)
 
 	_, err = Call(ctx, p, s.Addr(), Method[echoMsg, echoMsg]{ID: 9}, echoMsg{})
 	assert.Equal(t, fault.RanOf(err), fault.NotRun)
 
-	ended, cancel := context.WithCancel(ctx)
+	cancelled, cancel := context.WithCancel(ctx)
 	cancel()
-	_, err = Call(ended, p, s.Addr(), echo, echoMsg{})
+	_, err = Call(cancelled, p, s.Addr(), echo, echoMsg{})
 	assert.Equal(t, fault.RanOf(err), fault.NotRun, "nothing was sent")
 
-	short, cancel := context.WithTimeout(ctx, 20*time.Millisecond)
+	expiring, cancel := context.WithTimeout(ctx, 20*time.Millisecond)
 	defer cancel()
-	_, err = Call(short, p, s.Addr(), echo, echoMsg{Hold: true})
+	_, err = Call(expiring, p, s.Addr(), echo, echoMsg{Block: true})
 	assert.Equal(t, fault.RanOf(err), fault.Unknown)
-	letGo()
+	release()
 	_, err = Call(ctx, p, s.Addr(), echo, echoMsg{Text: "after"})
 	assert.NilError(t, err)
 
@@ -98,12 +98,12 @@
 	_, err = Call(ctx, p, s.Addr(), echo, echoMsg{})
 	assert.Equal(t, fault.RanOf(err), fault.NotRun)
 	p.Cut(s.Addr(), false)
-	_, err = Call(ctx, p, s.Addr(), echo, echoMsg{Text: "mended"})
+	_, err = Call(ctx, p, s.Addr(), echo, echoMsg{Text: "reconnected"})
 	assert.NilError(t, err)
 }
 
-// TestBrokenConnection checks that a call whose connection breaks before the
-// answer has an unknown outcome, and that the next one dials again.
+// TestBrokenConnection checks that a call has an unknown outcome if its
+// connection closes before the response, and that the next call redials.
 func TestBrokenConnection(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -129,12 +129,12 @@
 	assert.Equal(t, fault.RanOf(err), fault.NotRun)
 }
 
-// FuzzReadFrame checks that no input makes the reader return more than was
-// sent or fail to end.
+// FuzzReadFrame checks that readFrame terminates on any input and never returns
+// more bytes than it was given.
 func FuzzReadFrame(f *testing.F) {
-	good, err := appendFrame(request{ID: 1, Method: 1})
+	valid, err := encodeFrame(request{ID: 1, Method: 1})
 	assert.NilError(f, err)
-	f.Add(good)
+	f.Add(valid)
 	f.Add(binary.BigEndian.AppendUint32(nil, MaxFrameBytes+1))
 	f.Add([]byte{0, 0, 0})
 	f.Fuzz(func(t *testing.T, data []byte) {
@@ -142,11 +142,11 @@
 		if err != nil {
 			return
 		}
-		if len(body) > len(data)-lengthBytes {
+		if len(body) > len(data)-lengthPrefixBytes {
 			t.Fatalf("%d bytes from %d", len(body), len(data))
 		}
 		if req, err := Decode[request](body); err == nil {
-			if _, err := appendFrame(req); err != nil {
+			if _, err := encodeFrame(req); err != nil {
 				t.Fatalf("decoded request does not encode: %v", err)
 			}
 		}
--- a/internal/base/frame/server.go
+++ b/internal/base/frame/server.go
@@ -13,20 +13,20 @@
 	"lagooncourse/internal/base/fault"
 )
 
-// ServerConfig describes a Server.
+// ServerConfig configures a Server.
 type ServerConfig struct {
-	Addr     string // IP:port; port 0 picks a free one
-	InFlight int    // requests served at once on one connection; 0 means 4096
+	Addr        string // IP:port; port 0 selects a free port
+	MaxInFlight int    // maximum concurrent requests per connection; 0 means 4096
 }
 
-const defaultInFlight = 4096
+const defaultMaxInFlight = 4096
 
-// Server answers requests from other entry hosts.
+// Server serves requests from other entry hosts.
 type Server struct {
 	cfg      ServerConfig
 	ln       net.Listener
 	handlers map[uint16]handler
-	bytes    Traffic
+	traffic  Traffic
 
 	mu     sync.Mutex
 	conns  map[net.Conn]struct{}
@@ -38,13 +38,14 @@
 
 // NewServer returns a server that does not listen yet.
 func NewServer(cfg ServerConfig) *Server {
-	if cfg.InFlight == 0 {
-		cfg.InFlight = defaultInFlight
+	if cfg.MaxInFlight == 0 {
+		cfg.MaxInFlight = defaultMaxInFlight
 	}
 	return &Server{cfg: cfg, handlers: map[uint16]handler{}, conns: map[net.Conn]struct{}{}}
 }
 
-// Handle registers fn for the method. All calls of Handle come before Listen.
+// Handle registers fn as the handler of the method. It must not be called after
+// Listen.
 func Handle[Req, Resp any](s *Server, m Method[Req, Resp], fn func(context.Context, Req) (Resp, error)) {
 	if _, taken := s.handlers[m.ID]; taken {
 		panic(merry.Errorf("method id %d is registered twice", m.ID))
@@ -69,7 +70,7 @@
 	if err != nil {
 		return merry.Wrap(err)
 	}
-	go s.accept()
+	go s.acceptConns()
 	return nil
 }
 
@@ -77,10 +78,10 @@
 func (s *Server) Addr() string { return s.ln.Addr().String() }
 
 // Traffic returns the server's byte counters.
-func (s *Server) Traffic() *Traffic { return &s.bytes }
+func (s *Server) Traffic() *Traffic { return &s.traffic }
 
-// Close drops every connection. Requests in flight end with an unknown
-// outcome for their callers.
+// Close closes the listener and every connection. Requests in flight get an
+// Unknown outcome at the client.
 func (s *Server) Close() {
 	s.mu.Lock()
 	s.closed = true
@@ -94,7 +95,7 @@
 	s.active.Wait()
 }
 
-func (s *Server) accept() {
+func (s *Server) acceptConns() {
 	for {
 		c, err := s.ln.Accept()
 		if err != nil {
@@ -104,11 +105,11 @@
 			c.Close()
 			return
 		}
-		go s.serve(c)
+		go s.serveConn(c)
 	}
 }
 
-// track adds the connection, unless the server is closed.
+// track registers the connection. It returns false if the server is closed.
 func (s *Server) track(c net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -128,15 +129,15 @@
 	s.active.Done()
 }
 
-// serve reads requests from one connection and answers each in its own
-// goroutine, so a slow request does not hold up the ones behind it.
-func (s *Server) serve(c net.Conn) {
+// serveConn reads requests from one connection and handles each in its own
+// goroutine, so that a slow request does not delay later ones.
+func (s *Server) serveConn(c net.Conn) {
 	defer s.untrack(c)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	r := bufio.NewReader(c)
 	w := &connWriter{c: c}
-	slots := make(chan struct{}, s.cfg.InFlight)
+	sem := make(chan struct{}, s.cfg.MaxInFlight)
 	for {
 		body, err := readFrame(r)
 		if err != nil {
@@ -146,30 +147,31 @@
 		if err != nil {
 			return
 		}
-		slots <- struct{}{}
+		sem <- struct{}{}
 		go func() {
-			defer func() { <-slots }()
-			n := w.send(s.answer(ctx, req))
-			s.bytes.add(req.Method, Bytes{In: int64(len(body) + lengthBytes), Out: int64(n)})
+			defer func() { <-sem }()
+			n := w.send(s.dispatch(ctx, req))
+			s.traffic.add(req.Method, Bytes{In: int64(len(body) + lengthPrefixBytes), Out: int64(n)})
 		}()
 	}
 }
 
-func (s *Server) answer(ctx context.Context, req request) answer {
+// dispatch calls the handler of the request's method, with the caller's timeout.
+func (s *Server) dispatch(ctx context.Context, req request) response {
 	h, ok := s.handlers[req.Method]
 	if !ok {
-		return answer{ID: req.ID, Err: fault.New(fault.BadInput, fault.NotRun, "no method with id %d", req.Method)}
+		return response{ID: req.ID, Err: fault.New(fault.BadInput, fault.NotRun, "no handler for method id %d", req.Method)}
 	}
-	if req.WaitMs > 0 {
+	if req.TimeoutMs > 0 {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, time.Duration(req.WaitMs)*time.Millisecond)
+		ctx, cancel = context.WithTimeout(ctx, time.Duration(req.TimeoutMs)*time.Millisecond)
 		defer cancel()
 	}
 	body, err := h(ctx, req.Body)
 	if err != nil {
-		return answer{ID: req.ID, Err: fault.From(err)}
+		return response{ID: req.ID, Err: fault.From(err)}
 	}
-	return answer{ID: req.ID, Body: msgpack.RawMessage(body)}
+	return response{ID: req.ID, Body: msgpack.RawMessage(body)}
 }
 
 // connWriter serializes the frames of many goroutines onto one connection.
@@ -178,11 +180,11 @@
 	c  net.Conn
 }
 
-// send writes one frame and returns its length. A failed write closes the
-// connection, because the peer could otherwise read a frame that is cut short
-// and takes the next one for its rest.
+// send writes one frame and returns the number of bytes written. If encoding or
+// writing fails, it closes the connection: after a partial write, the peer would
+// read the next frame as the rest of the truncated one.
 func (w *connWriter) send(v any) int {
-	data, err := appendFrame(v)
+	data, err := encodeFrame(v)
 	if err != nil {
 		w.c.Close()
 		return 0
