--- a/internal/base/httpd/json.go
+++ b/internal/base/httpd/json.go
@@ -18,12 +18,13 @@
 	"lagooncourse/internal/base/fault"
 )
 
-// MaxBodyBytes bounds a JSON body in either direction.
+// MaxBodyBytes is the maximum size of a JSON body.
 const MaxBodyBytes = 8 << 20
 
-const idleConnsPerHost = 64
+const maxIdleConnsPerHost = 64
 
-// problem is an error document of RFC 9457 with the extension members of fault.Error.
+// problem is an RFC 9457 problem document with the members of fault.Error as
+// extensions.
 type problem struct {
 	Type   string `json:"type"`
 	Title  string `json:"title"`
@@ -31,7 +32,7 @@
 	fault.Error
 }
 
-// WriteError answers with the problem document of err.
+// WriteError writes err as a problem document, with the HTTP status of its code.
 func WriteError(w http.ResponseWriter, err error) {
 	e := fault.From(err)
 	if e.RetryAfter > 0 {
@@ -45,7 +46,7 @@
 	})
 }
 
-// WriteJSON answers 200 with the JSON form of v.
+// WriteJSON writes v as JSON with status 200.
 func WriteJSON(w http.ResponseWriter, v any) {
 	data, err := json.Marshal(v)
 	if err != nil {
@@ -57,8 +58,8 @@
 	_, _ = w.Write(data)
 }
 
-// ReadJSON decodes the body of r. An unknown field, a wrong type, trailing
-// data or a body of more than limit bytes is an error that names the field.
+// ReadJSON decodes the body of r. Unknown fields, wrong types, trailing data and
+// bodies of more than limit bytes are errors that name the field.
 func ReadJSON[T any](r *http.Request, limit int64) (v T, err error) {
 	data, err := ReadBody(r, limit)
 	if err != nil {
@@ -75,11 +76,12 @@
 	return v, nil
 }
 
-// ReadBody reads the whole body of r, of at most limit bytes.
+// ReadBody reads the whole body of r. A body of more than limit bytes is a
+// TooLarge error.
 func ReadBody(r *http.Request, limit int64) (data []byte, err error) {
 	data, err = io.ReadAll(io.LimitReader(r.Body, limit+1))
 	if err != nil {
-		return nil, fault.New(fault.BadInput, fault.NotRun, "body ends early: %v", err)
+		return nil, fault.New(fault.BadInput, fault.NotRun, "read request body: %v", err)
 	}
 	if int64(len(data)) > limit {
 		e := fault.New(fault.TooLarge, fault.NotRun, "body is longer than %d bytes", limit)
@@ -94,37 +96,39 @@
 	if errors.As(err, &te) {
 		return fault.Field(te.Field, te.Value, "must be of type %s", te.Type)
 	}
-	const unknown = "json: unknown field "
-	if name, ok := strings.CutPrefix(err.Error(), unknown); ok {
+	const unknownFieldPrefix = "json: unknown field "
+	if name, ok := strings.CutPrefix(err.Error(), unknownFieldPrefix); ok {
 		return fault.Field(strings.Trim(name, `"`), "", "is not a known field")
 	}
 	return fault.Field("body", "", "is not valid JSON: %v", err)
 }
 
-var tuneOnce sync.Once
+var configureTransportOnce sync.Once
 
-// tuneTransport raises the idle connections that httpc's client keeps for each
-// host. The default of two would open a connection for nearly every request.
-// It also silences the client's line per request.
-func tuneTransport() {
+// configureTransport raises the limit of idle connections per host of the
+// transport that httpc uses: with the default of 2, nearly every request would
+// open a new connection. It also disables proxies and go-zero's log, which has a
+// line for every request.
+func configureTransport() {
 	logx.Disable()
 	if t, ok := http.DefaultTransport.(*http.Transport); ok {
-		t.MaxIdleConnsPerHost = idleConnsPerHost
+		t.MaxIdleConnsPerHost = maxIdleConnsPerHost
 		t.MaxIdleConns = 0
 		t.Proxy = nil
 	}
 }
 
-// Exchange sends req as JSON, or no body for nil, and decodes the answer.
+// Exchange sends req as a JSON body, or no body if req is nil, and decodes the
+// JSON response.
 //
-// The error is a *fault.Error. It is NotRun when no connection was made, the
-// server's own word when the server answered with a problem document, and
-// Unknown in every other case.
+// The error is a *fault.Error. Its outcome is NotRun if no connection was
+// established, the outcome in the problem document if the server returned one,
+// and Unknown otherwise.
 func Exchange[Resp any](ctx context.Context, method, url string, req any) (resp Resp, err error) {
 	return ExchangeHeader[Resp](ctx, method, url, nil, req)
 }
 
-// ExchangeHeader is Exchange with request headers.
+// ExchangeHeader is like Exchange and also sets request headers.
 func ExchangeHeader[Resp any](
 	ctx context.Context, method, url string, header http.Header, req any,
 ) (resp Resp, err error) {
@@ -144,35 +148,36 @@
 		r.Header[k] = vs
 	}
 	r.Header.Set("Content-Type", "application/json")
-	answer, err := Send(r)
+	httpResp, err := Send(r)
 	if err != nil {
 		return resp, err
 	}
-	defer answer.Body.Close()
-	return decodeAnswer[Resp](answer)
+	defer httpResp.Body.Close()
+	return decodeResponse[Resp](httpResp)
 }
 
-// Send sends one request. The error is a *fault.Error: NotRun when no
-// connection was made, and Unknown otherwise.
+// Send sends one request. The error is a *fault.Error with the outcome NotRun if
+// no connection was established, and Unknown otherwise.
 func Send(r *http.Request) (*http.Response, error) {
-	tuneOnce.Do(tuneTransport)
+	configureTransportOnce.Do(configureTransport)
 	r, connected := Traced(r)
-	answer, err := httpc.DoRequest(r)
+	resp, err := httpc.DoRequest(r)
 	if err != nil {
 		return nil, TransportError(err, *connected)
 	}
-	return answer, nil
+	return resp, nil
 }
 
-// Traced returns the request with a note of whether it got a connection. The
-// note is valid once the request has ended.
+// Traced returns a copy of r and a flag that is set when the request gets a
+// connection. Read the flag only after the request has ended.
 func Traced(r *http.Request) (*http.Request, *bool) {
 	connected := new(bool)
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { *connected = true }}
 	return r.WithContext(httptrace.WithClientTrace(r.Context(), trace)), connected
 }
 
-// TransportError returns the error of a request that got no answer.
+// TransportError converts the error of a request without a response to a
+// *fault.Error.
 func TransportError(err error, connected bool) error {
 	if !connected {
 		return fault.New(fault.Unavailable, fault.NotRun, "%v", err)
@@ -183,31 +188,32 @@
 	return fault.New(fault.Unavailable, fault.Unknown, "%v", err)
 }
 
-func decodeAnswer[Resp any](answer *http.Response) (resp Resp, err error) {
-	data, err := io.ReadAll(io.LimitReader(answer.Body, MaxBodyBytes+1))
+func decodeResponse[Resp any](httpResp *http.Response) (resp Resp, err error) {
+	data, err := io.ReadAll(io.LimitReader(httpResp.Body, MaxBodyBytes+1))
 	if err != nil {
-		return resp, fault.New(fault.Unavailable, fault.Unknown, "answer ends early: %v", err)
+		return resp, fault.New(fault.Unavailable, fault.Unknown, "read response body: %v", err)
 	}
 	if len(data) > MaxBodyBytes {
-		return resp, fault.New(fault.BadAnswer, fault.Unknown, "answer is longer than %d bytes", MaxBodyBytes)
+		return resp, fault.New(fault.BadAnswer, fault.Unknown, "response is longer than %d bytes", MaxBodyBytes)
 	}
-	if answer.StatusCode >= http.StatusBadRequest {
-		return resp, DecodeProblem(answer.StatusCode, data)
+	if httpResp.StatusCode >= http.StatusBadRequest {
+		return resp, DecodeProblem(httpResp.StatusCode, data)
 	}
 	if len(data) == 0 {
 		return resp, nil
 	}
 	if err := json.Unmarshal(data, &resp); err != nil {
-		return resp, fault.New(fault.BadAnswer, fault.Unknown, "answer is not valid JSON: %v", err)
+		return resp, fault.New(fault.BadAnswer, fault.Unknown, "response is not valid JSON: %v", err)
 	}
 	return resp, nil
 }
 
-// DecodeProblem returns the error in a problem document.
+// DecodeProblem returns the *fault.Error in a problem document. A response of
+// another form becomes an Internal error with the outcome Unknown.
 func DecodeProblem(status int, data []byte) error {
 	var p problem
 	if err := json.Unmarshal(data, &p); err != nil || p.Ran == "" {
-		return fault.New(fault.Internal, fault.Unknown, "answer with status %d and no problem document", status)
+		return fault.New(fault.Internal, fault.Unknown, "response has status %d but no problem document", status)
 	}
 	e := p.Error
 	return &e
--- a/internal/base/httpd/server.go
+++ b/internal/base/httpd/server.go
@@ -1,11 +1,11 @@
-// Package httpd carries JSON over HTTP, on the base library's rest server and
-// httpc client.
+// Package httpd provides an HTTP server and client for JSON, built on the router
+// of go-zero's rest package and on its httpc client.
 //
-// The server is a rest server behind a listener of our own. The listener is
-// opened before the server starts, so that a caller who passes port 0 learns
-// the port, and Shutdown waits for the requests in flight. The rest server's
-// load shedding and breakers stay switched off: admission is decided by the
-// part that owns the resource, which can say truthfully that nothing ran.
+// The server opens its own listener before it starts serving, so that a caller
+// who passes port 0 can read the assigned port. Shutdown waits for the requests
+// in flight. go-zero's load shedding and circuit breakers are disabled: the
+// component that owns a resource decides on admission, because only it can
+// guarantee that a rejected request did not run.
 //
 // # Usage
 //
@@ -29,14 +29,13 @@
 	"lagooncourse/internal/base/fault"
 )
 
-// Config describes a server.
+// Config configures a Server.
 type Config struct {
-	Name   string       // for the base library's statistics
-	Addr   string       // IP:port; port 0 picks a free one
+	Name   string       // service name, for go-zero's statistics
+	Addr   string       // IP:port; port 0 selects a free port
 	Routes []rest.Route // patterns with :name parameters
-	// Handler, if set, answers everything in place of Routes: the paths of some
-	// servers are known only at run time, and the base library's router has no
-	// pattern for them.
+	// Handler, if set, serves all requests in place of Routes. It is for servers
+	// whose paths are known only at run time and cannot be written as route patterns.
 	Handler http.Handler
 }
 
@@ -51,7 +50,8 @@
 	maxHeaderBytes    = 64 << 10
 )
 
-// Listen opens the listener and builds the routes. Serve has to follow.
+// Listen opens the listener and builds the router. Requests are accepted once
+// Serve is called.
 func Listen(cfg Config) (s *Server, err error) {
 	defer fault.Note(&err, "listen on %q", cfg.Addr)
 	if cfg.Handler == nil {
@@ -73,7 +73,8 @@
 	}, nil
 }
 
-// router returns the base library's router with the routes of cfg.
+// router returns go-zero's router with the routes of cfg. Of go-zero's middleware
+// it enables only panic recovery.
 func router(cfg Config) (http.Handler, error) {
 	var rc rest.RestConf
 	if err := conf.FillDefault(&rc); err != nil {
@@ -104,10 +105,10 @@
 // Addr returns the IP and port on which the server listens.
 func (s *Server) Addr() string { return s.ln.Addr().String() }
 
-// URL returns the server's base URL, without a slash at its end.
+// URL returns the server's base URL, without a trailing slash.
 func (s *Server) URL() string { return "http://" + s.Addr() }
 
-// Serve answers requests until Shutdown or Close. It returns nil after either.
+// Serve serves requests until Shutdown or Close, and then returns nil.
 func (s *Server) Serve() error {
 	err := s.http.Serve(s.ln)
 	if errors.Is(err, http.ErrServerClosed) {
@@ -116,8 +117,9 @@
 	return merry.Wrap(err)
 }
 
-// Shutdown stops accepting and waits for the requests in flight, until ctx ends.
+// Shutdown stops accepting requests and waits until those in flight have ended or
+// ctx is done.
 func (s *Server) Shutdown(ctx context.Context) error { return merry.Wrap(s.http.Shutdown(ctx)) }
 
-// Close drops every connection at once. Tests use it to stand for a crash.
+// Close closes all connections immediately. Tests use it to simulate a crash.
 func (s *Server) Close() error { return merry.Wrap(s.http.Close()) }
