--- a/internal/base/logs/async.go
+++ b/internal/base/logs/async.go
@@ -11,15 +11,15 @@
 	"github.com/zeromicro/go-zero/core/logx"
 )
 
-// NewJSON returns a logger that writes one JSON object a line to w. The level
-// is one of Levels; another name means "info".
+// NewJSON returns a logger that writes one JSON object per line to w. The level is
+// one of Levels; any other name means "info".
 func NewJSON(w io.Writer, level string) logr.Logger {
 	logx.Disable()
-	return logr.FromSlogHandler(slog.NewJSONHandler(w, &slog.HandlerOptions{Level: levelOf(level)}))
+	return logr.FromSlogHandler(slog.NewJSONHandler(w, &slog.HandlerOptions{Level: parseLevel(level)}))
 }
 
-// Async is a writer that never blocks: lines wait in a bounded queue and are
-// dropped, and counted, when it is full.
+// Async is a non-blocking writer with a bounded queue. When the queue is full, it
+// drops lines and counts them.
 type Async struct {
 	w       io.Writer
 	lines   chan []byte
@@ -32,20 +32,20 @@
 
 var _ io.WriteCloser = (*Async)(nil)
 
-// NewAsync returns a writer in front of w that keeps up to n lines.
+// NewAsync returns a writer that queues up to n lines for w.
 func NewAsync(w io.Writer, n int) *Async {
 	a := &Async{w: w, lines: make(chan []byte, n), done: make(chan struct{})}
 	go a.run()
 	return a
 }
 
-// run writes what waits, several lines at a time.
+// run writes the queued lines in batches.
 func (a *Async) run() {
 	defer close(a.done)
 	var buf []byte
 	for line := range a.lines {
 		buf = append(buf[:0], line...)
-		for more := true; more && len(buf) < asyncBatch; {
+		for more := true; more && len(buf) < asyncBatchBytes; {
 			select {
 			case next, ok := <-a.lines:
 				more = ok
@@ -57,14 +57,14 @@
 		if n := a.dropped.Swap(0); n > 0 {
 			buf = append(buf, fmt.Sprintf("{\"msg\":\"log lines dropped\",\"count\":%d}\n", n)...)
 		}
-		_, _ = a.w.Write(buf) // a log that cannot be written has nowhere to say so
+		_, _ = a.w.Write(buf) // there is nowhere to report a failed log write
 	}
 }
 
-// asyncBatch is the size in bytes from which a batch of lines is written.
-const asyncBatch = 32 << 10
+// asyncBatchBytes is the size from which no further lines are added to a batch.
+const asyncBatchBytes = 32 << 10
 
-// Write queues one line.
+// Write queues one line. It always succeeds, also if the line is dropped.
 func (a *Async) Write(line []byte) (int, error) {
 	a.mu.RLock()
 	defer a.mu.RUnlock()
@@ -79,7 +79,7 @@
 	return len(line), nil
 }
 
-// Close writes what waits and ends.
+// Close writes the queued lines. Lines written after Close are discarded.
 func (a *Async) Close() error {
 	a.mu.Lock()
 	if !a.closed {
--- a/internal/base/logs/logs.go
+++ b/internal/base/logs/logs.go
@@ -1,7 +1,7 @@
 // Package logs writes the structured log of a process.
 //
-// A line is a short sentence with a fixed prefix for the part that wrote it,
-// followed by key=value pairs:
+// A line has a time, a level, the name of the component, a message and
+// key=value pairs:
 //
 //	12:03:07.114 INFO  owner: claimed group group=az1-0 epoch=4
 //
@@ -24,19 +24,19 @@
 	"github.com/zeromicro/go-zero/core/logx"
 )
 
-// Levels lists the names that New accepts, most verbose first.
+// Levels lists the valid level names, most verbose first.
 var Levels = []string{"debug", "info", "error"}
 
 // New returns a logger that writes lines at or above the level to w. The level
-// is one of Levels; another name means "info". The base library's own log is
-// switched off, since its lines carry no part prefix.
+// is one of Levels; any other name means "info". New disables go-zero's own log,
+// whose lines do not name a component.
 func New(w io.Writer, level string) logr.Logger {
 	logx.Disable()
-	return logr.FromSlogHandler(&handler{w: w, mu: &sync.Mutex{}, min: levelOf(level)})
+	return logr.FromSlogHandler(&handler{w: w, mu: &sync.Mutex{}, minLevel: parseLevel(level)})
 }
 
-// levelOf returns the level of that name.
-func levelOf(name string) slog.Level {
+// parseLevel returns the level with the given name, and info for other names.
+func parseLevel(name string) slog.Level {
 	switch name {
 	case "debug":
 		return slog.LevelDebug
@@ -49,19 +49,20 @@
 // Discard returns a logger that drops every line.
 func Discard() logr.Logger { return logr.Discard() }
 
-// handler formats one line a record. Values set with WithAttrs are formatted
-// once.
+// handler is a slog.Handler that writes one line of text per record. It formats
+// attributes set with WithAttrs only once. The attribute "logger" is the name of
+// the component.
 type handler struct {
-	w     io.Writer
-	mu    *sync.Mutex
-	min   slog.Level
-	attrs string
-	name  string
+	w        io.Writer
+	mu       *sync.Mutex
+	minLevel slog.Level
+	attrs    string
+	name     string
 }
 
 var _ slog.Handler = (*handler)(nil)
 
-func (h *handler) Enabled(_ context.Context, l slog.Level) bool { return l >= h.min }
+func (h *handler) Enabled(_ context.Context, l slog.Level) bool { return l >= h.minLevel }
 
 func (h *handler) Handle(_ context.Context, r slog.Record) error {
 	var b strings.Builder
@@ -104,6 +105,7 @@
 	return &c
 }
 
+// WithGroup ignores the group: keys are not qualified.
 func (h *handler) WithGroup(string) slog.Handler { return h }
 
 func writeAttr(b *strings.Builder, a slog.Attr) {
