--- a/internal/node/wire/wire.go
+++ b/internal/node/wire/wire.go
@@ -1,6 +1,6 @@
 // Package wire defines the messages between entry hosts and their method
-// numbers. All messages are msgpack arrays, so a field's place is its name:
-// fields are only ever added at the end.
+// numbers. All messages are encoded as msgpack arrays, so a field is identified by
+// its position: new fields are only added at the end.
 //
 // # Usage
 //
@@ -15,7 +15,7 @@
 	"lagooncourse/internal/cell/jobs"
 )
 
-// The methods.
+// The methods that entry hosts call on each other.
 var (
 	Gossip  = frame.Method[GossipMsg, GossipMsg]{ID: 1, Name: "gossip"}
 	Cell    = frame.Method[CellMsg, CellAnswer]{ID: 2, Name: "cell"}
@@ -33,26 +33,26 @@
 	List    = frame.Method[ListMsg, ListAnswer]{ID: 14, Name: "list"}
 )
 
-// Empty is an answer without content.
+// Empty is a response without content.
 type Empty struct {
 }
 
-// GossipMsg carries heartbeats, and descriptions of the members that the
-// receiver is believed to lack.
+// GossipMsg carries heartbeats, and the member descriptions that the receiver
+// probably lacks.
 type GossipMsg struct {
 	Beats   []Beat
 	Members []Member
 }
 
-// Beat is a member's newest heartbeat, as far as somebody has heard. It is
-// what changes all the time, and is kept small.
+// Beat is the newest known heartbeat of a member. It holds the data that changes
+// at every interval and is kept small.
 type Beat struct {
 	ID       string
-	Boot     int64  // orders the lives of one id
-	Beat     uint64 //
+	Boot     int64  // incarnation: higher after each restart of the host
+	Beat     uint64 // counter within the incarnation
 	Version  uint64 // of the member's description
-	CellNext int64  // next offset of the configuration that it will read
-	LogAgeMs int64  // since it read the end of the configuration from the log itself
+	CellNext int64  // next offset that the member will read from the configuration stream
+	LogAgeMs int64  // time since the member last read the end of the configuration stream from the log
 }
 
 // Newer reports whether b is a later heartbeat than o.
@@ -66,11 +66,11 @@
 	Addr    string `json:"addr"` // for peers
 	API     string `json:"api"`  // base URL for callers
 	Az      string `json:"az"`
-	Boot    int64  `json:"boot"`
-	Version uint64 `json:"version"` // of this description within the boot
-	Leaving bool   `json:"leaving"`
+	Boot    int64  `json:"boot"`    // incarnation: higher after each restart of the host
+	Version uint64 `json:"version"` // of this description within the incarnation
+	Leaving bool   `json:"leaving"` // the host is shutting down
 	Groups  []Duty `json:"groups"`
-	Pools   []Pool `json:"pools"` // targets to which the member sends calls
+	Pools   []Pool `json:"pools"` // pools that this member serves
 }
 
 // Newer reports whether m is a later description than o.
@@ -85,10 +85,10 @@
 	Az       string               `json:"az"`
 	Capacity jobs.Size            `json:"capacity"`
 	Free     jobs.Size            `json:"free"`
-	Largest  jobs.Size            `json:"largest"` // most that one worker has free
-	Used     map[string]jobs.Size `json:"used"`    // team -> placed tasks of the group's own jobs
-	Wanting  []string             `json:"wanting"` // teams that wait for more of their limit
-	Waiting  map[string]jobs.Size `json:"waiting"` // team -> size of what waits
+	Largest  jobs.Size            `json:"largest"` // largest free capacity of a single worker
+	Used     map[string]jobs.Size `json:"used"`    // team -> size of the placed tasks of the group's own jobs
+	Wanting  []string             `json:"wanting"` // teams that need a larger part of their limit in this group
+	Waiting  map[string]jobs.Size `json:"waiting"` // team -> size of the queued work
 }
 
 // Pool describes the targets of one service in one group.
@@ -96,22 +96,22 @@
 	Group   string `json:"group"`
 	Az      string `json:"az"`
 	Service string `json:"service"`
-	Slots   int    `json:"slots"` // of targets that take calls
+	Slots   int    `json:"slots"` // of the targets that accept calls
 	Busy    int    `json:"busy"`
 	Queued  int    `json:"queued"`
 }
 
-// CellMsg asks a peer for configuration records.
+// CellMsg requests configuration records from a peer, starting at offset From.
 type CellMsg struct {
 	From int64
 }
 
-// CellAnswer carries records that the peer has read.
+// CellAnswer carries configuration records that the peer has read.
 type CellAnswer struct {
 	First int64    // offset of the first record
 	Data  [][]byte // records at consecutive offsets
 	Next  int64    // next offset that the peer will read
-	AgeMs int64    // since the peer knew that this was the end of the stream
+	AgeMs int64    // time since the peer last confirmed that Next was the end of the stream
 }
 
 // SubmitMsg forwards a job to the owner of its group.
@@ -120,19 +120,20 @@
 	Spec  jobs.Spec
 }
 
-// StatusMsg asks for a job. WaitMs keeps the request open until it has ended.
+// StatusMsg requests a job. If WaitMs is positive, the answer is delayed until
+// the job has ended or WaitMs has passed.
 type StatusMsg struct {
 	Job    jobs.ID
 	WaitMs int64
 }
 
-// StatusAnswer carries a job and why it waits.
+// StatusAnswer carries a job and the reasons why it is waiting.
 type StatusAnswer struct {
 	Job jobs.Job
-	Why []string // explanations, newest last
+	Why []string // reasons, newest last
 }
 
-// CancelMsg asks for the end of a job.
+// CancelMsg requests the cancellation of a job.
 type CancelMsg struct {
 	Job jobs.ID
 }
@@ -143,11 +144,11 @@
 	Action jobs.Action
 }
 
-// ReserveMsg asks a group's owner for room, for all asks or for none.
+// ReserveMsg requests reservations from a group's owner, for all asks or for none.
 type ReserveMsg struct {
 	Group string
 	Asks  []books.Ask
-	TTLMs int64 // how long the reservation holds
+	TTLMs int64 // lifetime of the reservation
 }
 
 // ReserveAnswer carries a slot for each ask, or none.
@@ -164,32 +165,32 @@
 	Checkpoint string
 }
 
-// StartAnswer says whether the attempt runs.
+// StartAnswer reports whether the attempt runs.
 type StartAnswer struct {
 	Place books.Place
 }
 
-// StopMsg asks the owner of a worker's group to end an attempt.
+// StopMsg asks the owner of a worker's group to stop an attempt.
 type StopMsg struct {
 	Group      string
 	Attempt    books.Attempt
 	Checkpoint bool
 }
 
-// WhereMsg asks what became of attempts.
+// WhereMsg queries the state of attempts.
 type WhereMsg struct {
 	Group   string
 	Queries []books.Query
 }
 
-// WhereAnswer answers each query in order.
+// WhereAnswer answers the queries of a WhereMsg in their order.
 type WhereAnswer struct {
-	Epoch   uint64 // of the group whose owner answers
+	Epoch   uint64 // of the answering owner's group
 	Places  []books.Place
 	Reports []books.Report
 }
 
-// ReportMsg tells the owner of a job's group how attempts ended.
+// ReportMsg reports to the owner of a job's group how attempts ended.
 type ReportMsg struct {
 	Group   string
 	Reports []books.Report
@@ -202,7 +203,7 @@
 
 // CallMsg forwards a call to a service.
 type CallMsg struct {
-	Group      string // whose targets or whose records are meant
+	Group      string // Serve: group of the targets; Once: group that records the call
 	Service    string
 	Team       string
 	ID         string
@@ -210,14 +211,14 @@
 	Body       []byte
 }
 
-// CallAnswer carries the whole answer to a call.
+// CallAnswer carries the complete response to a call.
 type CallAnswer struct {
 	Status int
 	Body   []byte
 	Ran    fault.Outcome
 }
 
-// ListMsg asks for the jobs of a group.
+// ListMsg requests the jobs of a group.
 type ListMsg struct {
 	Group string
 	Team  string // empty for all
@@ -225,7 +226,7 @@
 	Max   int
 }
 
-// ListAnswer carries jobs without their payload.
+// ListAnswer carries jobs without their payloads.
 type ListAnswer struct {
 	Jobs []jobs.Job
 }
