--- a/internal/node/peers/peers.go
+++ b/internal/node/peers/peers.go
@@ -1,17 +1,18 @@
-// Package peers keeps the table of entry hosts: who is alive, who owns which
-// group, and what each last said about its load.
+// Package peers implements the membership table of entry hosts: which hosts are
+// alive, which host owns which group, and the last reported load of each host.
 //
-// There is no agreement on membership and none is needed. The table decides
-// only when to try a takeover and where to send a request; what keeps a wrong
-// guess harmless are the epochs in the log and the fencing tokens at the
-// workers. Each host raises its own heartbeat and exchanges tables with a
-// random peer at every interval, so the cost for each host does not grow with
-// the square of their number.
+// Membership is spread by gossip and is not agreed on by consensus. The table only
+// determines when to attempt a takeover and where to send a request. A wrong
+// decision is harmless because of the epochs in the log and the fencing tokens at
+// the workers. At every interval each host increments its own heartbeat and
+// exchanges tables with one random peer, so the number of messages per host does
+// not depend on the number of hosts.
 //
-// What changes all the time, the heartbeats, is kept apart from the members'
-// descriptions. An exchange carries all heartbeats and only those descriptions
-// that the other side lacks, and a description changes at most once in
-// DescribeEvery unless the groups of its host do.
+// Heartbeats change at every interval and are kept apart from the member
+// descriptions. An exchange carries all heartbeats, but only those descriptions
+// that the other side lacks. A description changes at most once per
+// DescribeEvery, unless the groups, the number of pools or the leaving flag of
+// its host change.
 //
 // # Usage
 //
@@ -36,12 +37,12 @@
 // Config describes a Table.
 type Config struct {
 	Self          wire.Member
-	SuspectAfter  time.Duration // without a new heartbeat a member counts as dead
-	ForgetAfter   time.Duration // then it disappears from the table
-	DescribeEvery time.Duration // least time between two descriptions of changed load
+	SuspectAfter  time.Duration // time without a new heartbeat after which a member counts as dead
+	ForgetAfter   time.Duration // time without a new heartbeat after which a member is removed
+	DescribeEvery time.Duration // minimum interval between two descriptions when only the load changes
 }
 
-// Table is the table of one entry host.
+// Table is the membership table of one entry host. It is safe for concurrent use.
 type Table struct {
 	cfg Config
 
@@ -49,11 +50,12 @@
 	self        wire.Member
 	beat        wire.Beat
 	describedAt time.Time
-	members     map[string]*seen // without self
-	owners      map[string]Owner
+	members     map[string]*seen // by id, without self
+	owners      map[string]Owner // by group
 }
 
-// seen is a member with the local time of its newest heartbeat.
+// seen is another host's description and newest heartbeat, with the local time at
+// which the heartbeat was received.
 type seen struct {
 	m    wire.Member
 	beat wire.Beat
@@ -66,32 +68,34 @@
 	Addr  string
 	Epoch uint64
 
-	notedAt time.Time // when the log named it; zero if it said so itself
+	notedAt time.Time // when the claim was read from the log; zero if the owner announced itself
 }
 
-// Peer is a live member with its newest heartbeat, brought up to the present.
+// Peer is a live member with its newest heartbeat. LogAge includes the time since
+// the heartbeat was received.
 type Peer struct {
 	wire.Member
-	CellNext int64         `json:"cellNext"`
-	LogAge   time.Duration `json:"logAgeNs"` // since it read the end of the configuration from the log
+	CellNext int64         `json:"cellNext"` // next offset that it will read from the configuration stream
+	LogAge   time.Duration `json:"logAgeNs"` // time since it last read the end of the configuration stream from the log
 }
 
-// Report is what a host says about itself at a heartbeat.
+// Report is the state of the local host that a heartbeat carries.
 type Report struct {
-	Member   wire.Member // Boot, Version and the addresses are not used
-	CellNext int64
-	LogAge   time.Duration // since it read the end of the configuration from the log
+	Member   wire.Member   // ID, Az, Boot, Version and the addresses are ignored
+	CellNext int64         // next offset to read from the configuration stream
+	LogAge   time.Duration // time since this host last read the end of the configuration stream from the log
 }
 
-// NewTable returns a table that knows only its own host.
+// NewTable returns a table that contains only the local host.
 func NewTable(cfg Config) *Table {
 	t := &Table{cfg: cfg, self: cfg.Self, members: map[string]*seen{}, owners: map[string]Owner{}}
-	t.self.Version = 1 // 0 stands for a description that was never received
+	t.self.Version = 1 // 0 means that no description was received
 	t.beat = wire.Beat{ID: cfg.Self.ID, Boot: cfg.Self.Boot, Version: t.self.Version}
 	return t
 }
 
-// Beat raises the host's own heartbeat.
+// Beat increments the local heartbeat, updates the local description and removes
+// members without a new heartbeat for longer than ForgetAfter.
 func (t *Table) Beat(r Report, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -105,8 +109,8 @@
 	}
 }
 
-// describe takes a new description of this host, if it is due. The caller
-// holds the lock.
+// describe replaces the description of the local host if an update is due. The
+// caller must hold t.mu.
 func (t *Table) describe(m wire.Member, now time.Time) {
 	m.ID, m.Addr, m.API, m.Az = t.self.ID, t.self.Addr, t.self.API, t.self.Az
 	m.Boot, m.Version = t.self.Boot, t.self.Version
@@ -120,6 +124,7 @@
 	t.learn(m)
 }
 
+// sameEpochs reports whether a and b list the same groups with the same epochs.
 func sameEpochs(a, b []wire.Duty) bool {
 	if len(a) != len(b) {
 		return false
@@ -136,16 +141,16 @@
 	return true
 }
 
-// Self returns the host's own description.
+// Self returns the description of the local host.
 func (t *Table) Self() wire.Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.self
 }
 
-// Message returns what to send to the peer at addr: all heartbeats, and this
-// host's description if it does not know the peer. Known peers ask for a
-// description by the version in their own heartbeats.
+// Message returns the message for the peer at addr: all heartbeats, and the local
+// description if the peer is not in the table. A peer in the table receives it in
+// response to its own messages, whose versions show which descriptions it lacks.
 func (t *Table) Message(addr string, now time.Time) wire.GossipMsg {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -159,16 +164,16 @@
 	return msg
 }
 
-// Announcement returns this host's description alone, for the moment at which
-// its groups have changed.
+// Announcement returns a message with only the local heartbeat and description. It
+// is sent when the groups of the local host have changed.
 func (t *Table) Announcement() wire.GossipMsg {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return wire.GossipMsg{Beats: []wire.Beat{t.beat}, Members: []wire.Member{t.self}}
 }
 
-// beats lists the live members' heartbeats. Dead ones are left out, so that
-// they are not passed round for ever. The caller holds the lock.
+// beats returns the heartbeats of the live members. Those of dead members are left
+// out, otherwise they would circulate forever. The caller must hold t.mu.
 func (t *Table) beats(now time.Time) []wire.Beat {
 	beats := []wire.Beat{t.beat}
 	for _, s := range t.members {
@@ -179,15 +184,16 @@
 	return beats
 }
 
-// present returns the heartbeat with its ages brought up to the present.
+// present returns the heartbeat with LogAgeMs increased by the time since it was
+// received.
 func (s *seen) present(now time.Time) wire.Beat {
 	b := s.beat
 	b.LogAgeMs += now.Sub(s.at).Milliseconds()
 	return b
 }
 
-// Merge takes a peer's message and returns the answer: the heartbeats and
-// descriptions that the peer lacks.
+// Merge merges a peer's message into the table and returns the response: the
+// heartbeats and descriptions that the peer lacks.
 func (t *Table) Merge(msg wire.GossipMsg, now time.Time) wire.GossipMsg {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -218,8 +224,9 @@
 	return answer
 }
 
-// takeMember enters a description, unless a newer one is known. A member that
-// was not known counts as heard now.
+// takeMember stores a description, unless the table has the same or a newer one. A
+// member that is new to the table or has restarted counts as alive from now. The
+// caller must hold t.mu.
 func (t *Table) takeMember(m wire.Member, now time.Time) {
 	if m.ID == t.self.ID {
 		return
@@ -236,7 +243,8 @@
 	t.learn(m)
 }
 
-// takeBeat enters a heartbeat of a member whose description is known.
+// takeBeat stores a heartbeat if it is newer and the description of its member is
+// in the table. The caller must hold t.mu.
 func (t *Table) takeBeat(b wire.Beat, now time.Time) {
 	s := t.members[b.ID]
 	if s == nil || b.Boot != s.m.Boot || !b.Newer(s.beat) {
@@ -246,8 +254,8 @@
 	s.beat, s.at = b, now
 }
 
-// learn notes the member's groups. The highest epoch wins, because only one
-// host ever held it.
+// learn records the member as the owner of its groups. The highest epoch wins,
+// because each epoch has exactly one owner. The caller must hold t.mu.
 func (t *Table) learn(m wire.Member) {
 	for _, d := range m.Groups {
 		if o, ok := t.owners[d.Group]; !ok || d.Epoch >= o.Epoch {
@@ -256,10 +264,12 @@
 	}
 }
 
+// alive reports whether the member's newest heartbeat is recent enough.
 func (t *Table) alive(s *seen, now time.Time) bool { return now.Sub(s.at) <= t.cfg.SuspectAfter }
 
-// Note enters the holder of a group that the log names. A host that has just
-// claimed a group has not yet told its peers, so it counts as alive for a while.
+// Note records a group's owner as read from the log, unless a newer epoch is
+// recorded. A host that has just claimed a group has not announced it yet, so
+// Holds reports it as a live owner for SuspectAfter/2.
 func (t *Table) Note(group string, o Owner, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -270,7 +280,7 @@
 	t.owners[group] = o
 }
 
-// Owner returns the newest known owner of a group, alive or not.
+// Owner returns the newest known owner of a group, whether alive or not.
 func (t *Table) Owner(group string) (Owner, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -278,8 +288,8 @@
 	return o, ok
 }
 
-// Live returns the members that are alive and not leaving, this host included,
-// sorted by id.
+// Live returns the members that are alive and not leaving, including the local
+// host, sorted by id.
 func (t *Table) Live(now time.Time) []Peer {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -299,8 +309,9 @@
 	return list
 }
 
-// Holds reports whether a live member, leaving or not, says that it owns the
-// group at the newest known epoch.
+// Holds reports whether the group has a live owner: a live member, leaving or not,
+// that lists the group at the newest known epoch, or a host whose claim was read
+// from the log no longer than SuspectAfter/2 ago.
 func (t *Table) Holds(group string, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -327,9 +338,9 @@
 	return false
 }
 
-// Silence reports how the table's members stand towards the log: whether some
-// member that has not left is silent, and the lowest age of the configuration
-// among those that are heard, this host excluded.
+// Silence summarizes the state of the other members that are not leaving: whether
+// any of them is suspected dead, the lowest LogAge of the live ones, and the number
+// of live ones. Without live ones, freshest is the maximum duration.
 func (t *Table) Silence(now time.Time) (silent bool, freshest time.Duration, heard int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -348,17 +359,20 @@
 	return silent, freshest, heard
 }
 
-// Pick returns up to n addresses of random live members other than this host.
+// Pick returns the addresses of up to n random live members, excluding the local
+// host.
 func (t *Table) Pick(n int, r *rand.Rand, now time.Time) []string {
 	return t.pick(n, r, func(s *seen) bool { return t.alive(s, now) })
 }
 
-// silentOdds is one in how many exchanges tries a silent member too.
+// silentOdds is the number of rounds per contact attempt with a suspected member,
+// on average.
 const silentOdds = 8
 
-// Partners returns whom to exchange messages with in one round: a live member,
-// and now and then a silent one, always if none is alive. Without it two sides of
-// a split that has healed would never hear of each other.
+// Partners returns the addresses of the members to exchange messages with in one
+// round: a random live member and, in one of silentOdds rounds or if no member is
+// alive, a random suspected one. Otherwise the two sides of a network partition
+// would not find each other again after it has healed.
 func (t *Table) Partners(r *rand.Rand, now time.Time) []string {
 	addrs := t.Pick(1, r, now)
 	if len(addrs) == 0 || r.IntN(silentOdds) == 0 {
@@ -367,7 +381,7 @@
 	return addrs
 }
 
-// pick returns up to n addresses of random members that match.
+// pick returns the addresses of up to n random members that match.
 func (t *Table) pick(n int, r *rand.Rand, match func(*seen) bool) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -382,9 +396,9 @@
 	return addrs[:min(n, len(addrs))]
 }
 
-// Order returns the members in the order in which they should own the group:
-// those of the group's availability zone first, and within each part by
-// rendezvous hash. When one host goes, only its groups move.
+// Order returns the members in order of preference as owners of the group: those in
+// the group's availability zone first, then the others, each sorted by rendezvous
+// hash. When a host fails, only the groups that it owned move.
 func Order(group, az string, live []Peer) []Peer {
 	type ranked struct {
 		m     Peer
--- a/internal/node/peers/peers_test.go
+++ b/internal/node/peers/peers_test.go
@@ -17,14 +17,15 @@
 	interval      = 250 * time.Millisecond
 )
 
-// net is a number of tables that exchange messages at a manual pace.
+// net simulates a cluster: it contains a table for each host, which exchange messages
+// in rounds.
 type net struct {
 	now    time.Time
 	tables []*Table
 	dead   map[int]bool
 	r      *rand.Rand
-	bodies int // descriptions exchanged
-	split  int // hosts below it and the others do not reach each other; 0 for none
+	bodies int // number of descriptions exchanged
+	split  int // hosts with a lower index are partitioned from the others; 0 for no partition
 }
 
 func addrOf(i int) string { return fmt.Sprintf("10.0.0.%d:1", i) }
@@ -40,8 +41,9 @@
 	return w
 }
 
-// round lets every live host beat and exchange with one peer, or with the
-// first host as long as it knows none.
+// round advances the clock by one interval. Every live host increments its heartbeat
+// and exchanges messages with its gossip partners, or with the first host if it has
+// none.
 func (w *net) round() {
 	w.now = w.now.Add(interval)
 	for i, t := range w.tables {
@@ -59,6 +61,8 @@
 	}
 }
 
+// exchange exchanges messages between t and the host at addr, if the host is alive and
+// reachable.
 func (w *net) exchange(t *Table, addr string) {
 	for j, peer := range w.tables {
 		if addrOf(j) != addr || w.dead[j] || w.apart(t, peer) {
@@ -71,7 +75,7 @@
 	}
 }
 
-// apart reports whether the two are on different sides of the split.
+// apart reports whether a and b are on different sides of the partition.
 func (w *net) apart(a, b *Table) bool {
 	var low, high bool
 	for i, t := range w.tables {
@@ -82,9 +86,10 @@
 	return low && high
 }
 
-// TestHealedSplit cuts some hosts off for longer than the suspicion time. Once
-// the split has healed, both sides find each other again, also when the seed is
-// the one that was cut off. (Seen as TestCutOffHost of package entry.)
+// TestHealedSplit partitions the hosts for longer than SuspectAfter. After the
+// partition has healed, both sides must find each other again, even if only the seed
+// host was cut off. Package entry tests the same failure with real hosts in
+// TestCutOffHost.
 func TestHealedSplit(t *testing.T) {
 	for _, split := range []int{1, 2, 4} {
 		w := newNet(8)
@@ -106,8 +111,8 @@
 	}
 }
 
-// TestSpread checks that all hosts hear of one another through one seed, and
-// that nothing but heartbeats is exchanged once they have.
+// TestSpread checks that all hosts discover each other through one seed host, and that
+// afterwards only heartbeats are exchanged and no descriptions.
 func TestSpread(t *testing.T) {
 	w := newNet(40)
 	rounds := 0
@@ -117,7 +122,7 @@
 		for _, tab := range w.tables {
 			full = full && len(tab.Live(w.now)) == 40
 		}
-		assert.Assert(t, rounds < 20, "not spread after %d rounds", rounds)
+		assert.Assert(t, rounds < 20, "not all hosts discovered after %d rounds", rounds)
 	}
 	for range 20 {
 		w.round()
@@ -132,8 +137,8 @@
 	assert.Equal(t, w.bodies, 0)
 }
 
-// TestDeath checks that a dead host is noticed everywhere within the suspicion
-// time and the rounds that news takes, and that a new life of it is believed.
+// TestDeath checks that all hosts detect a dead host within SuspectAfter and the rounds
+// that gossip needs, and accept the host again after a restart with a higher Boot.
 func TestDeath(t *testing.T) {
 	w := newNet(8)
 	for range 20 {
@@ -147,7 +152,7 @@
 		for i, tab := range w.tables {
 			gone = gone && (w.dead[i] || len(tab.Live(w.now)) == 7)
 		}
-		assert.Assert(t, w.now.Sub(died) < suspectAfter+10*interval, "not noticed after %s", w.now.Sub(died))
+		assert.Assert(t, w.now.Sub(died) < suspectAfter+10*interval, "not detected after %s", w.now.Sub(died))
 	}
 	silent, _, heard := w.tables[0].Silence(w.now)
 	assert.Assert(t, silent)
@@ -165,8 +170,9 @@
 	}
 }
 
-// TestOwners checks that the highest epoch wins whatever the order of the
-// news, and that a holder that the log names counts until it can have told.
+// TestOwners checks that the owner with the highest epoch wins regardless of the order
+// of messages, and that an owner that was read from the log counts as live for a
+// limited time without announcing itself.
 func TestOwners(t *testing.T) {
 	w := newNet(1)
 	tab := w.tables[0]
@@ -178,17 +184,17 @@
 	assert.Equal(t, o.Host, "x")
 	assert.Assert(t, tab.Holds("g", w.now))
 	later := w.now.Add(suspectAfter + time.Millisecond)
-	assert.Assert(t, !tab.Holds("g", later), "a silent owner holds nothing")
+	assert.Assert(t, !tab.Holds("g", later), "an owner without heartbeats counts as live")
 	tab.Note("g", Owner{Host: "z", Addr: "z:1", Epoch: 6}, later)
 	assert.Assert(t, tab.Holds("g", later))
 	tab.Note("g", Owner{Host: "old", Epoch: 5}, later)
 	o, _ = tab.Owner("g")
 	assert.Equal(t, o.Host, "z")
-	assert.Assert(t, !tab.Holds("g", later.Add(suspectAfter)), "a noted owner that never speaks holds nothing")
+	assert.Assert(t, !tab.Holds("g", later.Add(suspectAfter)), "an owner that never announced itself still counts as live")
 }
 
-// TestOrder checks that local hosts come first and that the loss of one host
-// moves only its groups.
+// TestOrder checks that hosts in the group's availability zone come first, and that the
+// failure of a host moves only its own groups.
 func TestOrder(t *testing.T) {
 	w := newNet(9)
 	for range 20 {
