--- a/internal/node/route/pool.go
+++ b/internal/node/route/pool.go
@@ -1,16 +1,16 @@
-// Package route carries calls to the targets of services.
+// Package route routes calls to the targets of services.
 //
-// Two parts work together. A Pool is the set of targets of one group and one
-// service; the entry host that is responsible for the group sends all calls to
-// them, so it knows which of their slots are taken without asking anybody. A
-// Router runs on the host that took the call. It knows from gossip how loaded
-// the pools were a moment ago, picks one of two random pools, prefers its own
-// availability zone, and forwards the call to the pool's host.
+// A Pool is the set of targets of one service in one group. The entry host that
+// serves a pool sends all calls to its targets, so it tracks their free slots
+// locally. A Router runs on the host that received the call. It chooses the less
+// loaded of two random pools, by the load that gossip last reported and with a
+// preference for its own availability zone, and forwards the call to the host that
+// serves the pool.
 //
-// Responsibility for a pool follows the table of live hosts and not the log, so
-// calls go on while the log is down. Two hosts may for a moment both feel
-// responsible. That is harmless: an executor refuses a call that finds no free
-// slot, and says truthfully that it did not run.
+// The host that serves a pool is determined by the table of live hosts and not by
+// the log, so calls continue while the log is down. Two hosts may briefly serve the
+// same pool. This is harmless: an executor rejects a call for which it has no free
+// slot and reports that the call did not run.
 //
 // # Usage
 //
@@ -40,31 +40,33 @@
 	Clock   clock.Clock
 }
 
-// Pool sends calls to the targets of one service in one group.
+// Pool sends calls to the targets of one service in one group. It is safe for
+// concurrent use.
 type Pool struct {
 	cfg PoolConfig
 
 	mu      sync.Mutex
 	targets map[string]*member
-	waiting []chan *member // oldest first; a closed pool closes them
-	taken   uint64         // slots taken so far
-	busy    int
+	waiting []chan *member // queued calls, oldest first; closed when the pool closes
+	taken   uint64         // number of slots acquired since the start
+	busy    int            // slots in use
 	closed  bool
 }
 
-// member is one target with the calls that this pool has on it.
+// member is a target of the pool and its state.
 type member struct {
 	host     hosts.Target
 	t        target.Target
-	busy     int
-	failures int       // in a row
-	lastTake uint64    // orders targets by their last call
-	restAt   time.Time // takes no calls before
+	busy     int       // slots in use
+	failures int       // consecutive failed calls
+	lastTake uint64    // value of Pool.taken when its slot was last acquired
+	restAt   time.Time // end of the ejection: no calls are sent before
 }
 
+// Limits of a pool.
 const (
-	maxQueuePerSlot = 4 // calls that wait, for each slot of the pool
-	failuresToRest  = 3
+	maxQueuePerSlot = 4 // queued calls per available slot
+	failuresToRest  = 3 // consecutive failures that eject a target
 	restTime        = 2 * time.Second
 )
 
@@ -73,8 +75,8 @@
 	return &Pool{cfg: cfg, targets: map[string]*member{}}
 }
 
-// SetTargets takes the pool's part of the host list. A target that is leaving
-// or gone gets no new call; the calls on it are left to end.
+// SetTargets replaces the targets of the pool. A target that is leaving or no longer
+// listed gets no new calls; its calls in flight continue.
 func (p *Pool) SetTargets(list []hosts.Target) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -99,7 +101,7 @@
 	p.hand()
 }
 
-// Load describes the pool for peers.
+// Load returns the state of the pool that gossip reports to peers.
 func (p *Pool) Load() wire.Pool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -108,7 +110,8 @@
 	return w
 }
 
-// slots counts the slots of targets that take calls. The caller holds the lock.
+// slots returns the number of slots of the available targets. The caller must hold
+// p.mu.
 func (p *Pool) slots() int {
 	n := 0
 	now := p.cfg.Clock.Now()
@@ -120,12 +123,15 @@
 	return n
 }
 
+// open reports whether the target is available for new calls: neither leaving nor
+// ejected.
 func (m *member) open(now time.Time) bool {
 	return m.host.State != hosts.Leaving && !now.Before(m.restAt)
 }
 
-// Serve sends one call to one target, once, and returns its whole answer. It
-// waits for a free slot until ctx ends. Errors are *fault.Error.
+// Serve sends a call to one target, without retries, and returns the complete
+// response. If no slot is free, the call is queued until ctx ends. Errors are of
+// type *fault.Error.
 func (p *Pool) Serve(ctx context.Context, msg wire.CallMsg) (a wire.CallAnswer, err error) {
 	m, err := p.acquire(ctx)
 	if err != nil {
@@ -139,7 +145,7 @@
 	return wire.CallAnswer{Status: answer.Status, Body: answer.Body, Ran: fault.Done}, nil
 }
 
-// acquire takes a slot of the least loaded target, or waits for one.
+// acquire acquires a slot of the target with the most free slots, or waits for one.
 func (p *Pool) acquire(ctx context.Context) (*member, error) {
 	p.mu.Lock()
 	if m := p.pick(); m != nil {
@@ -158,17 +164,17 @@
 	select {
 	case m := <-ch:
 		if m == nil {
-			return nil, fault.New(fault.Unavailable, fault.NotRun, "the host is stopping")
+			return nil, fault.New(fault.Unavailable, fault.NotRun, "the entry host is stopping")
 		}
 		return m, nil
 	case <-ctx.Done():
 		p.leave(ch)
-		return nil, fault.New(fault.Overload, fault.NotRun, "no slot of service %q became free in time", p.cfg.Service).WithRetryAfter(1)
+		return nil, fault.New(fault.Overload, fault.NotRun, "no slot of service %q became free before the deadline", p.cfg.Service).WithRetryAfter(1)
 	}
 }
 
-// leave takes a call out of the queue, or gives its slot back if it has just
-// got one.
+// leave removes a call from the queue. If the call was assigned a slot in the
+// meantime, leave releases the slot.
 func (p *Pool) leave(ch chan *member) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -185,8 +191,8 @@
 	}
 }
 
-// pick returns the open target with the most free slots, or nil. The caller
-// holds the lock.
+// pick returns the available target with the most free slots, or nil if no slot is
+// free. The caller must hold p.mu.
 func (p *Pool) pick() *member {
 	var best *member
 	now := p.cfg.Clock.Now()
@@ -201,8 +207,8 @@
 	return best
 }
 
-// before reports whether m is the better choice: more free slots, and among
-// equals the one that has been left alone the longest.
+// before reports whether m is preferred to o: the target with more free slots, then
+// the one that was used less recently, then the one with the lower id.
 func (m *member) before(o *member) bool {
 	if m.free() != o.free() {
 		return m.free() > o.free()
@@ -215,6 +221,7 @@
 
 func (m *member) free() int { return m.host.Slots - m.busy }
 
+// take acquires a slot of m. The caller must hold p.mu.
 func (p *Pool) take(m *member) {
 	p.taken++
 	m.lastTake = p.taken
@@ -222,7 +229,7 @@
 	p.busy++
 }
 
-// hand gives free slots to the calls that wait. The caller holds the lock.
+// hand assigns free slots to the queued calls. The caller must hold p.mu.
 func (p *Pool) hand() {
 	for len(p.waiting) > 0 {
 		m := p.pick()
@@ -235,8 +242,9 @@
 	}
 }
 
-// release gives the slot back and notes how the call went. A target that fails
-// several calls in a row rests for a moment, unless it is the last one.
+// release releases the slot and records the result of the call. A target with
+// failuresToRest consecutive failures is ejected for restTime if mayRest allows
+// it. An overload error does not count as a failure.
 func (p *Pool) release(m *member, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -255,8 +263,9 @@
 	p.hand()
 }
 
-// mayRest reports whether at least half of the targets would still take calls
-// after one more rests, so that a service is never emptied by its own errors.
+// mayRest reports whether at least half of the targets would remain available after
+// ejecting one more, so that errors of a service never eject all of its targets.
+// The caller must hold p.mu.
 func (p *Pool) mayRest() bool {
 	open := 0
 	now := p.cfg.Clock.Now()
@@ -268,8 +277,8 @@
 	return (open-1)*2 >= len(p.targets)
 }
 
-// Close refuses the calls that wait and all later ones. Calls that have been
-// sent go on to their end.
+// Close rejects the queued calls. Later calls are rejected when no slot is free.
+// Calls in flight continue.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/node/route/route.go
+++ b/internal/node/route/route.go
@@ -9,42 +9,45 @@
 	"lagooncourse/internal/node/wire"
 )
 
-// Forwarder sends a call to the host that is responsible for a pool.
+// Forwarder lists the pools of the cell and forwards calls to them.
 type Forwarder interface {
+	// Serve sends a call to the host that serves the pool of msg.Group and
+	// msg.Service.
 	Serve(ctx context.Context, msg wire.CallMsg) (wire.CallAnswer, error)
-	// Pools lists the pools of all live hosts, as they last said.
+	// Pools returns the pools of all live hosts with their last reported load.
 	Pools() []wire.Pool
 }
 
 // RouterConfig describes a Router.
 type RouterConfig struct {
-	Az      string // of this host
+	Az      string // availability zone of this host
 	Forward Forwarder
-	Rand    *rand.Rand // guarded by the router's lock
+	Rand    *rand.Rand // used only with the router's lock held
 }
 
-// Router picks a pool for each call and repeats a call where that is safe.
+// Router selects a pool for each call and retries failed calls where that is safe.
 type Router struct {
 	cfg RouterConfig
 
 	mu     sync.Mutex
-	own    map[string]int // group -> calls of this router on it
-	tokens float64        // of the retry budget
+	own    map[string]int // group -> calls in flight from this router
+	tokens float64        // retries left in the budget
 	stats  RouterStats
 }
 
-// RouterStats counts what the router did.
+// RouterStats holds the counters of a Router.
 type RouterStats struct {
 	Calls   int64 `json:"calls"`
 	Retries int64 `json:"retries"`
-	Denied  int64 `json:"retriesDenied"` // for want of budget
-	Unknown int64 `json:"unknown"`
+	Denied  int64 `json:"retriesDenied"` // retries not made because the budget was used up
+	Unknown int64 `json:"unknown"`       // attempts with an unknown outcome
 }
 
+// Retry limits and pool selection.
 const (
-	maxTries        = 4
-	budgetPerCall   = 0.1 // retries that each call earns
-	maxBudget       = 50  // retries that can be saved up
+	maxTries        = 4   // attempts per call
+	budgetPerCall   = 0.1 // retries that each call adds to the budget
+	maxBudget       = 50  // maximum retries in the budget
 	remoteAzPenalty = 0.5 // added to the load of a pool in another availability zone
 )
 
@@ -60,9 +63,10 @@
 	return r.stats
 }
 
-// Call sends the call to a pool of its service. It is sent again, to another
-// pool, if it surely did not run, or if it is idempotent; each repetition has
-// an id of its own, so no late answer to the one can pass for the other's.
+// Call sends a call to a pool of its service. If the attempt fails, Call retries in
+// another pool where possible, provided that the call certainly did not run, or
+// that its outcome is unknown and the call is idempotent. Each retry has its own id,
+// so a late response to one attempt is not taken for that of another.
 func (r *Router) Call(ctx context.Context, msg wire.CallMsg) (a wire.CallAnswer, err error) {
 	defer fault.Note(&err, "service %q", msg.Service)
 	r.earn()
@@ -72,7 +76,7 @@
 		pool, ok := r.pick(msg.Service, tried)
 		if !ok {
 			if err == nil {
-				err = fault.New(fault.Unavailable, fault.NotRun, "no target of service %q takes calls", msg.Service).WithRetryAfter(1)
+				err = fault.New(fault.Unavailable, fault.NotRun, "service %q has no available target", msg.Service).WithRetryAfter(1)
 			}
 			return a, err
 		}
@@ -85,7 +89,8 @@
 	}
 }
 
-// tryID returns the id of one try. The first keeps the call's own id.
+// tryID returns the call id of an attempt. The first attempt uses the id of the call
+// itself.
 func tryID(id string, try int) string {
 	if try == 1 {
 		return id
@@ -93,6 +98,7 @@
 	return id + "~" + string(rune('0'+try))
 }
 
+// repeatable reports whether a call that failed with err may be retried.
 func repeatable(err error, idempotent bool) bool {
 	switch fault.RanOf(err) {
 	case fault.NotRun:
@@ -103,6 +109,7 @@
 	return false
 }
 
+// send forwards one attempt and counts it as in flight until it ends.
 func (r *Router) send(ctx context.Context, msg wire.CallMsg) (wire.CallAnswer, error) {
 	r.mu.Lock()
 	r.own[msg.Group]++
@@ -117,8 +124,8 @@
 	return a, err
 }
 
-// pick returns the less loaded of two random pools of the service. A pool that
-// was tried is picked again only when no other is left.
+// pick returns the less loaded of two random pools of the service. Pools that were
+// already tried are considered only when no other is left.
 func (r *Router) pick(service string, tried map[string]bool) (best wire.Pool, ok bool) {
 	var fresh, used []wire.Pool
 	for _, p := range r.cfg.Forward.Pools() {
@@ -145,8 +152,9 @@
 	return a, true
 }
 
-// load estimates how full a pool is: 1 when every slot is taken. The calls that
-// this router has on it may be counted twice; that errs on the safe side.
+// load estimates the utilization of a pool, where 1 means that every slot is in use.
+// It uses the larger of the load that gossip reported and the calls in flight from
+// this router, because the reported load may be out of date.
 func (r *Router) load(p wire.Pool) float64 {
 	load := float64(max(p.Busy+p.Queued, r.own[p.Group])) / float64(p.Slots)
 	if p.Az != r.cfg.Az {
@@ -155,6 +163,7 @@
 	return load
 }
 
+// earn counts a call and adds its share to the retry budget.
 func (r *Router) earn() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -162,7 +171,7 @@
 	r.tokens = min(r.tokens+budgetPerCall, maxBudget)
 }
 
-// spend takes one retry from the budget.
+// spend takes one retry from the budget. It returns false if the budget is used up.
 func (r *Router) spend() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
