--- a/internal/node/route/route_test.go
+++ b/internal/node/route/route_test.go
@@ -19,14 +19,14 @@
 	"lagooncourse/internal/plat/target"
 )
 
-// fakeTarget holds every call until it is released, and counts them.
+// fakeTarget is a target that counts calls and blocks them until release is closed.
 type fakeTarget struct {
 	mu      sync.Mutex
 	busy    int
 	most    int
 	calls   int
 	err     error
-	release chan struct{} // nil answers at once
+	release chan struct{} // if nil, calls return immediately
 }
 
 func (f *fakeTarget) Call(ctx context.Context, req target.Request) (target.Answer, error) {
@@ -51,7 +51,8 @@
 	return f.calls
 }
 
-// testPool returns a pool of n targets with two slots each.
+// testPool returns a pool of n targets with two slots each. If held is true, the
+// targets block their calls.
 func testPool(n int, held bool) (*Pool, []*fakeTarget, []hosts.Target, *clock.Manual) {
 	fakes := make([]*fakeTarget, n)
 	list := make([]hosts.Target, n)
@@ -70,14 +71,15 @@
 	return p, fakes, list, c
 }
 
-// until polls a condition up to a bound.
+// until waits until ok returns true and fails the test after 10 s.
 func until(t *testing.T, ok func() bool) {
 	t.Helper()
-	polls.Until(t, 10*time.Second, "the awaited state", ok)
+	polls.Until(t, 10*time.Second, "the expected state", ok)
 }
 
-// TestPoolSlots checks that a pool never puts more calls on a target than it
-// has slots, that calls wait in order, and that too many are refused.
+// TestPoolSlots checks that a pool never sends more calls to a target than it has
+// slots, that further calls are queued, and that calls beyond the queue limit are
+// rejected.
 func TestPoolSlots(t *testing.T) {
 	p, fakes, _, _ := testPool(2, true)
 	var wg sync.WaitGroup
@@ -110,12 +112,12 @@
 		assert.Assert(t, f.most <= 2, "a target with 2 slots had %d calls", f.most)
 		ran += f.calls
 	}
-	assert.Equal(t, ran, capacity, "a refused call ran")
+	assert.Equal(t, ran, capacity, "a rejected call ran")
 	assert.Equal(t, p.Load().Busy, 0)
 }
 
-// TestPoolGivesUp checks that a call that waits too long has not run and gives
-// its place back.
+// TestPoolGivesUp checks that a queued call whose context ends does not run and leaves
+// the queue.
 func TestPoolGivesUp(t *testing.T) {
 	p, fakes, _, _ := testPool(1, true)
 	for range 2 {
@@ -136,8 +138,8 @@
 	assert.Equal(t, fakes[0].count(), 2)
 }
 
-// TestLeavingTarget checks that a leaving target gets no new call while the
-// ones on it go on.
+// TestLeavingTarget checks that a leaving target gets no new calls, and that a pool
+// without targets rejects calls.
 func TestLeavingTarget(t *testing.T) {
 	p, fakes, list, _ := testPool(2, false)
 	list[0].State = hosts.Leaving
@@ -154,8 +156,8 @@
 	assert.Equal(t, fault.RanOf(err), fault.NotRun)
 }
 
-// TestRest checks that a failing target rests and returns, and that a service
-// is never emptied by its own failures.
+// TestRest checks that a failing target is ejected and becomes available again, and
+// that failures never eject all targets of a pool.
 func TestRest(t *testing.T) {
 	p, fakes, _, c := testPool(3, false)
 	for _, f := range fakes {
@@ -165,12 +167,12 @@
 		_, err := p.Serve(context.Background(), wire.CallMsg{})
 		assert.Equal(t, fault.RanOf(err), fault.Unknown)
 	}
-	assert.Equal(t, p.Load().Slots, 4, "one of three targets may rest")
+	assert.Equal(t, p.Load().Slots, 4, "only one of three targets may be ejected")
 	c.Advance(restTime)
 	assert.Equal(t, p.Load().Slots, 6)
 }
 
-// script is a Forwarder that answers each try from a list.
+// script is a Forwarder that returns the next error of a list for each attempt.
 type script struct {
 	pools []wire.Pool
 	errs  []error
@@ -187,8 +189,9 @@
 	return wire.CallAnswer{Ran: fault.Done}, nil
 }
 
-// TestRetries checks against a naive rule that a call is repeated only where
-// that is safe, with an id of its own each time.
+// TestRetries compares the number of attempts with a simple model in which a call is
+// retried only where that is safe. Each attempt must have its own id, and the first
+// retry must go to another pool.
 func TestRetries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var errs []error
@@ -220,7 +223,7 @@
 	})
 }
 
-// TestRetryBudget checks that retries stop once the budget is used up.
+// TestRetryBudget checks that the number of retries is limited by the budget.
 func TestRetryBudget(t *testing.T) {
 	s := &script{pools: []wire.Pool{{Group: "a", Service: "s", Slots: 1}}}
 	for range 10_000 {
