--- a/internal/node/entry/duty.go
+++ b/internal/node/entry/duty.go
@@ -11,7 +11,8 @@
 
 // This file decides which groups this host should own.
 
-// dutyLoop decides which groups this host should own.
+// dutyLoop decides periodically which groups this host should own, and announces
+// changes of the groups that it owns.
 func (h *Host) dutyLoop(ctx context.Context) {
 	owned := map[string]uint64{}
 	tick(ctx, dutyEvery, func(ctx context.Context) {
@@ -31,7 +32,7 @@
 	})
 }
 
-// epochs returns the epochs of the groups that this host owns.
+// epochs returns the epochs of the groups that this host owns, by group name.
 func (h *Host) epochs() map[string]uint64 {
 	epochs := map[string]uint64{}
 	for _, og := range h.ownGroups() {
@@ -42,7 +43,8 @@
 	return epochs
 }
 
-// eligible lists the live hosts that can read the log as well as any other.
+// eligible returns the live hosts that may own groups: those whose last read of the
+// end of the log is at most FreshFor older than that of any other live host.
 func (h *Host) eligible(now time.Time) []peers.Peer {
 	live := h.table.Live(now)
 	best := time.Duration(1<<63 - 1)
@@ -58,10 +60,11 @@
 	return list
 }
 
-// wants decides whether this host should own the group. A group without an
-// owner goes to the first live host in the group's order; the others follow
-// one after another if that one does not claim it. An owner that is no longer
-// first hands over, once that has been so for a while.
+// wants reports whether this host should own the group. The first host in the
+// group's order of preference claims a group without a live owner at once. Each
+// following host waits claimStagger longer, in case the hosts before it do not
+// claim the group. An owner that is no longer first hands the group over after
+// handOverAfter. Live must contain only eligible hosts.
 func (h *Host) wants(og *ownedGroup, live []peers.Peer, cutOff bool, now time.Time) bool {
 	rank := -1
 	order := peers.Order(og.g.Name(), og.g.Az(), live)
@@ -74,7 +77,7 @@
 		return false
 	}
 	if og.g.Epoch() > 0 {
-		og.noOwner = now // after a hand-over the others come first
+		og.noOwner = now // after a handover, the hosts before this one claim first
 		if rank == 0 {
 			og.away = now
 		}
@@ -91,9 +94,9 @@
 	return now.Sub(og.noOwner) >= time.Duration(rank)*claimStagger
 }
 
-// held reports whether a live host owns the group and can write its stream. An
-// owner that lags behind others in reading the log is cut off from it; its
-// groups may be claimed without waiting for it to notice.
+// held reports whether the group has a live owner that can write the group's stream.
+// An owner that is live but not eligible has lost its connection to the log. Other
+// hosts may claim its groups without waiting for it to detect this.
 func (h *Host) held(name string, eligible []peers.Peer, now time.Time) bool {
 	if !h.table.Holds(name, now) {
 		return false
--- a/internal/node/entry/group.go
+++ b/internal/node/entry/group.go
@@ -10,13 +10,13 @@
 	"lagooncourse/internal/plat/hosts"
 )
 
-// GroupOf returns the group of a rack. An availability zone has n groups, and
-// each of its racks belongs to one of them for good.
+// GroupOf returns the name of the group that a rack belongs to. An availability zone
+// has n groups. The group of a rack does not change as long as n stays the same.
 func GroupOf(az, rack string, n int) string {
 	return fmt.Sprintf("%s-%d", az, xxhash.Sum64String(rack)%uint64(n))
 }
 
-// groupNames lists the groups of all workers in the host list, sorted.
+// groupNames returns the sorted names of the groups of all workers in the host list.
 func groupNames(list hosts.List, n int) []string {
 	set := map[string]bool{}
 	for _, w := range list.Workers {
@@ -30,9 +30,9 @@
 	return names
 }
 
-// homeOf returns the group that owns a submission. It depends only on the
-// submission and the groups, so a repetition reaches the same group whichever
-// host takes it.
+// homeOf returns the group that a submission or call is assigned to, by rendezvous
+// hash. The result depends only on the arguments, so a retry reaches the same group
+// through any host.
 func homeOf(names []string, team, submission string) string {
 	var best string
 	var bestHash uint64
--- a/internal/node/entry/host.go
+++ b/internal/node/entry/host.go
@@ -1,18 +1,17 @@
-// Package entry is the daemon of an entry host. It takes requests from callers
-// and operators over HTTP, exchanges frames with the other entry hosts, and
+// Package entry implements the daemon of an entry host. It accepts requests from
+// callers and operators over HTTP, exchanges frames with the other entry hosts, and
 // runs the groups that it owns.
 //
-// All entry hosts are equal, and any may disappear at any time. A request that
-// arrives at one host is forwarded to the host that owns the job's group, or to
-// the one that is responsible for the chosen targets. The first host decides
-// who the caller is and whether the request is valid; the owner decides what
-// happens to it.
+// All entry hosts are equal, and any of them may fail at any time. The host that
+// receives a request authenticates the caller and validates the request. It then
+// forwards the request to the host that owns the job's group or that serves the
+// chosen pool of targets, which executes it.
 //
 // # Usage
 //
 //	h, err := entry.Start(entry.Config{Settings: settings, Logger: log})
 //	...
-//	h.Stop(ctx) // graceful: not ready, hand over, finish what is in flight
+//	h.Stop(ctx) // graceful: not ready, hand over groups, finish requests in flight
 package entry
 
 import (
@@ -44,8 +43,8 @@
 type Config struct {
 	Settings Settings
 	Logger   logr.Logger
-	Clock    clock.Clock  // nil means the system's
-	Log      stream.Log   // nil means the log service of the settings
+	Clock    clock.Clock  // nil means the system clock
+	Log      stream.Log   // nil means the log service named in the settings
 	Policy   queue.Policy // nil means queue.Fair
 }
 
@@ -65,29 +64,31 @@
 	metrics *metrics
 	started time.Time
 
-	cancel context.CancelFunc // ends the loops
+	cancel context.CancelFunc // stops the loops
 	loops  sync.WaitGroup
 
 	mu       sync.Mutex
 	groups   map[string]*ownedGroup
 	pools    map[poolKey]*route.Pool
-	list     hosts.List
-	leaving  bool
-	inFlight int
+	list     hosts.List // newest host list of the platform
+	leaving  bool       // Stop was called
+	inFlight int        // requests from peers and calls to targets in flight
 }
 
+// poolKey identifies a pool of targets.
 type poolKey struct{ group, service string }
 
-// ownedGroup is a group of the cell, with what decides who should own it.
+// ownedGroup is a group of the cell, whether this host owns it or not, with the
+// state that decides whether this host should own it.
 type ownedGroup struct {
 	g       *owner.Group
 	cancel  context.CancelFunc
-	done    chan struct{}
-	noOwner time.Time // since when nobody is known to own it
-	away    time.Time // since when another host should own it
+	done    chan struct{} // closed when the group's loop has ended
+	noOwner time.Time     // last time at which the group had a live owner, or was first seen without one
+	away    time.Time     // last time at which this host was the preferred owner or did not own the group
 }
 
-// Start opens the listeners and joins the cell.
+// Start opens the listeners and starts the loops that join the cell.
 func Start(cfg Config) (h *Host, err error) {
 	defer fault.Note(&err, "start entry host %q", cfg.Settings.Host.ID)
 	set := cfg.Settings
@@ -112,7 +113,7 @@
 	return h, nil
 }
 
-// listen opens both listeners.
+// listen opens the listeners for callers and for peers.
 func (h *Host) listen() (err error) {
 	h.metrics = newMetrics(h)
 	h.api, err = httpd.Listen(httpd.Config{Name: "entry", Addr: h.set.Host.Listen, Routes: h.routes()})
@@ -124,7 +125,8 @@
 	return h.frames.Listen()
 }
 
-// join starts the loops of a host whose listeners are open.
+// join creates the parts that need the addresses of the open listeners and starts
+// the host's loops.
 func (h *Host) join() {
 	h.table = peers.NewTable(peers.Config{
 		Self: wire.Member{
@@ -155,37 +157,40 @@
 	h.log.Info("started", "api", h.api.Addr(), "peer", h.frames.Addr(), "az", h.set.Host.Az)
 }
 
-// bootNumber orders the lives of one host: units of 50 ms since 2026, which
-// take 5 bytes in a heartbeat where milliseconds take 9.
+// bootNumber returns the incarnation number of a host that starts at t: the time
+// since 2026 in units of 50 ms. It takes 5 bytes in a heartbeat, where milliseconds
+// would take 9.
 func bootNumber(t time.Time) int64 {
 	base := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	return t.Sub(base).Milliseconds() / 50
 }
 
+// Intervals, timeouts and limits of the loops.
 const (
 	forgetMember  = time.Minute
-	announcePeers = 8
+	announcePeers = 8 // peers that announce sends to
 	describeEvery = 500 * time.Millisecond
 	gossipTimeout = time.Second
 	dutyEvery     = 100 * time.Millisecond
-	joinGrace     = time.Second // to hear from owners before claiming
-	handOverAfter = 3 * time.Second
-	claimStagger  = 1500 * time.Millisecond
-	snapshotEvery = 5 * time.Second
+	joinGrace     = time.Second             // after the start, to receive the owners by gossip before claiming
+	handOverAfter = 3 * time.Second         // until an owner hands over to a preferred host
+	claimStagger  = 1500 * time.Millisecond // delay of a claim per rank, to avoid concurrent claims
+	snapshotEvery = 5 * time.Second         // between two checks whether a snapshot is due
 )
 
+// newRand returns a random generator with a random seed.
 func newRand() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
 
 // API returns the base URL for callers.
 func (h *Host) API() string { return h.api.URL() }
 
-// Peer returns the address for other entry hosts.
+// Peer returns the address on which the host serves other entry hosts.
 func (h *Host) Peer() string { return h.frames.Addr() }
 
-// ID returns the host's name.
+// ID returns the host's id.
 func (h *Host) ID() string { return h.set.Host.ID }
 
-// tick calls fn at the interval until ctx ends.
+// tick calls fn at once and then at every interval d until ctx ends.
 func tick(ctx context.Context, d time.Duration, fn func(context.Context)) {
 	t := time.NewTicker(d)
 	defer t.Stop()
@@ -199,7 +204,8 @@
 	}
 }
 
-// gossipLoop raises the heartbeat and exchanges tables with random peers.
+// gossipLoop increments the heartbeat and exchanges membership tables with random
+// peers.
 func (h *Host) gossipLoop(ctx context.Context) {
 	r := newRand()
 	tick(ctx, h.set.Timing.Gossip, func(ctx context.Context) {
@@ -216,7 +222,7 @@
 	})
 }
 
-// beat raises the host's heartbeat with its present load.
+// beat increments the heartbeat and updates the load that it reports.
 func (h *Host) beat() {
 	_, next := h.cell.Age()
 	duties, pools := h.ownDuties(), h.ownPools()
@@ -228,7 +234,7 @@
 	}, h.clock.Now())
 }
 
-// gossip sends a message to a peer and takes its answer.
+// gossip sends a message to a peer and merges the response.
 func (h *Host) gossip(ctx context.Context, addr string, msg wire.GossipMsg) {
 	ctx, cancel := context.WithTimeout(ctx, gossipTimeout)
 	defer cancel()
@@ -238,8 +244,8 @@
 	}
 }
 
-// announce tells some peers at once that this host's groups have changed, so
-// that requests find the new owner without waiting for gossip.
+// announce sends the changed groups of this host to some peers at once, so that
+// requests reach the new owner before the next gossip rounds.
 func (h *Host) announce(ctx context.Context) {
 	h.beat()
 	msg := h.table.Announcement()
@@ -248,6 +254,7 @@
 	}
 }
 
+// ownDuties returns the descriptions of the groups that this host owns.
 func (h *Host) ownDuties() []wire.Duty {
 	var duties []wire.Duty
 	for _, og := range h.ownGroups() {
@@ -258,6 +265,7 @@
 	return duties
 }
 
+// ownGroups returns all groups of the cell, whether this host owns them or not.
 func (h *Host) ownGroups() []*ownedGroup {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -268,20 +276,20 @@
 	return list
 }
 
-// hostsLoop follows the platform's host list.
+// hostsLoop polls the platform's host list.
 func (h *Host) hostsLoop(ctx context.Context) {
 	tick(ctx, h.set.Platform.HostsEvery, func(ctx context.Context) {
 		list, err := h.lister.List(ctx)
 		if err != nil {
-			h.log.V(1).Info("host list not read", "err", err.Error())
+			h.log.V(1).Info("reading the host list failed", "err", err.Error())
 			return
 		}
 		h.setHosts(ctx, list)
 	})
 }
 
-// setHosts divides the host list among the groups and starts groups that are
-// new.
+// setHosts starts the groups that are new in the host list and assigns the workers
+// and targets of the list to groups and pools.
 func (h *Host) setHosts(ctx context.Context, list hosts.List) {
 	n := h.set.Platform.GroupsInAz
 	workers := map[string][]hosts.Worker{}
@@ -307,7 +315,7 @@
 	h.syncPools(list)
 }
 
-// newGroup starts a group that this host does not own yet.
+// newGroup starts the loop of a group. This host does not own the group yet.
 func (h *Host) newGroup(name, az string) *ownedGroup {
 	ctx, cancel := context.WithCancel(context.Background())
 	g := owner.New(owner.Config{
@@ -326,7 +334,8 @@
 	return og
 }
 
-// snapshotLoop has the first live host append snapshots of the configuration.
+// snapshotLoop appends snapshots of the configuration if this host has the lowest
+// id of all live hosts.
 func (h *Host) snapshotLoop(ctx context.Context) {
 	last := h.clock.Now()
 	tick(ctx, snapshotEvery, func(ctx context.Context) {
@@ -343,7 +352,7 @@
 	})
 }
 
-// syncPools brings the target pools in line with the host list.
+// syncPools creates and updates the pools of targets from the host list.
 func (h *Host) syncPools(list hosts.List) {
 	targets := map[poolKey][]hosts.Target{}
 	azs := map[string]string{}
@@ -370,9 +379,9 @@
 	return target.NewClient(target.ClientConfig{ID: t.ID, URL: t.URL, Conns: t.Slots})
 }
 
-// Stop ends the host gracefully: it stops being ready, hands its groups over,
-// finishes the requests in flight and closes. The error says that ctx ended
-// before all requests were finished.
+// Stop shuts the host down gracefully: it reports not ready, hands its groups over,
+// finishes the requests in flight and closes. It returns an error if ctx ends
+// before all requests have finished.
 func (h *Host) Stop(ctx context.Context) (err error) {
 	defer fault.Note(&err, "stop entry host %q", h.set.Host.ID)
 	h.mu.Lock()
@@ -388,7 +397,7 @@
 	return err
 }
 
-// release hands all groups over.
+// release hands over all groups and waits for their loops to end.
 func (h *Host) release(ctx context.Context) {
 	list := h.ownGroups()
 	for _, og := range list {
@@ -404,8 +413,9 @@
 
 const drainPoll = 20 * time.Millisecond
 
-// drain waits until the balancer and the peers have seen that this host is
-// leaving, and until the calls that peers have forwarded have ended.
+// drain waits until the load balancer and the peers have had time to see that this
+// host is leaving, and until no request from a peer or call to a target is in
+// flight.
 func (h *Host) drain(ctx context.Context) {
 	quiet := h.clock.Now().Add(max(h.set.Timing.NotReady, 2*h.set.Timing.Gossip))
 	for {
@@ -423,7 +433,7 @@
 	}
 }
 
-// close ends loops and connections.
+// close stops the loops and closes the pools and the connections to peers.
 func (h *Host) close() {
 	if h.cancel != nil {
 		h.cancel()
@@ -438,8 +448,8 @@
 	}
 }
 
-// Kill ends the host at once, as a crash would: nothing is handed over and
-// every connection breaks.
+// Kill stops the host immediately, like a crash: it hands no group over and breaks
+// every connection.
 func (h *Host) Kill() {
 	if h.api != nil {
 		h.api.Close()
@@ -457,5 +467,6 @@
 	}
 }
 
-// Cut breaks the frames from this host to a peer's address, or mends them.
+// Cut blocks the connection from this host to a peer's address if on is true, and
+// unblocks it otherwise. Tests use it to simulate network failures.
 func (h *Host) Cut(addr string, on bool) { h.pool.Cut(addr, on) }
