--- a/internal/node/entry/cell.go
+++ b/internal/node/entry/cell.go
@@ -17,15 +17,16 @@
 	"lagooncourse/internal/plat/stream"
 )
 
-// follower keeps the configuration up to date, from the log and, while the log
-// does not answer this host, from peers that it does answer.
+// follower keeps the configuration up to date. It reads the configuration stream
+// from the log and, while the log does not answer, from peers.
 //
-// The configuration is fresh if this host knew, no longer ago than FreshFor,
-// that it had read everything. A host for which that is not so cannot tell
-// whether a key has been withdrawn. It refuses work, unless nobody can have
-// published anything either: every host that has not left is heard, there is at
-// least one, and none of them has read the log's end within FreshFor. The table
-// of cases is in docs/design/0004-freshness.md.
+// The configuration is fresh if it was complete within the last FreshFor. A host
+// whose configuration is not fresh may have missed a change, such as the withdrawal
+// of a key, and rejects work. The exception is an outage of the log for all hosts,
+// in which nothing can have been published: every other host that is not leaving
+// is alive, there is at least one such host or the cell has no other, and none of
+// them has read the end of the log within FreshFor. The table of cases is in
+// docs/design/0004-freshness.md.
 type follower struct {
 	log      stream.Log
 	table    *peers.Table
@@ -33,26 +34,27 @@
 	clock    clock.Clock
 	logger   logr.Logger
 	freshFor time.Duration
-	alone    bool // the cell has no other entry host
+	alone    bool // the settings name no other entry host
 	machine  *config.Machine
 
 	mu      sync.Mutex
 	replay  *stream.Replay
-	headAt  time.Time // when the state was last known to be complete
-	readAt  time.Time // the same, from the log itself
-	recent  [][]byte  // the newest records, for peers
-	changed chan struct{}
+	headAt  time.Time     // when the state was last known to be complete
+	readAt  time.Time     // when the end of the stream was last read from the log
+	recent  [][]byte      // newest records, served to peers
+	changed chan struct{} // closed and replaced when records are applied
 }
 
 var _ owner.Cell = (*follower)(nil)
 
+// Timeouts, retry delays and limits of the follower.
 const (
-	maxFollowWait = time.Second
+	maxFollowWait = time.Second // maximum wait of a read for a new record
 	followRetry   = 200 * time.Millisecond
 	peerTimeout   = time.Second
-	maxRecent     = 4096 // records kept for peers
-	changeRetry   = 50 * time.Millisecond
-	maxChangeWait = time.Second
+	maxRecent     = 4096                  // records kept for peers
+	changeRetry   = 50 * time.Millisecond // first delay between two appends of a record; doubles
+	maxChangeWait = time.Second           // maximum delay between two appends of a record
 )
 
 // run follows the stream until ctx ends.
@@ -69,12 +71,14 @@
 	}
 }
 
-// followWait is how long a read may wait for a record. A quiet stream must not
-// make the configuration look old.
+// followWait returns how long a read may wait for a new record. It is well below
+// freshFor, because otherwise the configuration would count as stale while the stream
+// is idle.
 func (f *follower) followWait() time.Duration { return min(maxFollowWait, f.freshFor/4) }
 
-// step reads one page. The state is complete as of the instant at which the
-// request was sent, since the log answers with all that it had then.
+// step reads and applies one page. If the page reaches the end of the stream, the
+// state is complete as of the time at which the request was sent, because the
+// response contains all records that the log had at that time.
 func (f *follower) step(ctx context.Context) error {
 	f.mu.Lock()
 	from, sent := f.replay.Next(), f.clock.Now()
@@ -91,8 +95,8 @@
 	return nil
 }
 
-// take applies a page that was complete at the instant asOf. It reports whether
-// the state is complete now.
+// take applies a page that was read at the time asOf. It reports whether the state is
+// complete, which means that it includes all records up to the end of the stream.
 func (f *follower) take(p stream.Page, asOf time.Time) (complete bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -109,8 +113,8 @@
 	return complete
 }
 
-// keepRecent keeps the records that have just been applied. The caller holds
-// the lock.
+// keepRecent keeps the page's records from offset before on for peers. The caller
+// must hold f.mu.
 func (f *follower) keepRecent(p stream.Page, before int64) {
 	if p.First > before {
 		f.recent = nil
@@ -125,7 +129,7 @@
 	}
 }
 
-// askPeer reads the records that a random peer has and this host lacks.
+// askPeer reads the records that this host lacks from a random live peer.
 func (f *follower) askPeer(ctx context.Context) {
 	now := f.clock.Now()
 	addrs := f.table.Pick(1, newRand(), now)
@@ -148,15 +152,15 @@
 	f.take(page, now.Add(-time.Duration(a.AgeMs)*time.Millisecond))
 }
 
-// serve answers a peer's request for records. It has them only from the oldest
-// that it keeps.
+// serve answers a peer's request for records. It fails if the state is not ready or
+// the request starts before the oldest record in f.recent.
 func (f *follower) serve(_ context.Context, msg wire.CellMsg) (a wire.CellAnswer, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	next := f.replay.Next()
 	oldest := next - int64(len(f.recent))
 	if !f.replay.Ready() || msg.From < oldest {
-		return a, fault.New(fault.NotFound, fault.NotRun, "records before offset %d are not at hand", oldest)
+		return a, fault.New(fault.NotFound, fault.NotRun, "records before offset %d are not available", oldest)
 	}
 	a = wire.CellAnswer{First: msg.From, Next: next, AgeMs: f.age().Milliseconds()}
 	if msg.From < next {
@@ -165,11 +169,11 @@
 	return a, nil
 }
 
-// age returns how long ago the state was known to be complete. The caller
-// holds the lock.
+// age returns the time since the state was last known to be complete. The caller
+// must hold f.mu.
 func (f *follower) age() time.Duration { return f.clock.Now().Sub(f.headAt) }
 
-// Age returns how long ago the state was known to be complete, and the next
+// Age returns the time since the state was last known to be complete, and the next
 // offset to read.
 func (f *follower) Age() (time.Duration, int64) {
 	f.mu.Lock()
@@ -177,7 +181,8 @@
 	return f.age(), f.replay.Next()
 }
 
-// LogAge returns how long ago this host has itself read the end of the stream.
+// LogAge returns the time since this host last read the end of the stream from the
+// log.
 func (f *follower) LogAge() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -187,7 +192,8 @@
 // State returns the newest configuration.
 func (f *follower) State() *config.State { return f.machine.State() }
 
-// Fresh returns an error unless the configuration may be acted on.
+// Fresh returns an error unless the configuration is recent enough to accept work.
+// The comment on follower has the rule.
 func (f *follower) Fresh() error {
 	f.mu.Lock()
 	age, ready := f.age(), f.replay.Ready()
@@ -202,15 +208,15 @@
 	return fault.New(fault.Unavailable, fault.NotRun, "this host's configuration may be out of date").WithRetryAfter(1)
 }
 
-// CutOff reports whether this host cannot read the log while another can. Such
-// a host may know the configuration from its peers, but cannot own a group.
+// CutOff reports whether this host cannot read the log while another host can. Such
+// a host may read the configuration from its peers, but cannot own a group.
 func (f *follower) CutOff() bool {
 	_, freshest, heard := f.table.Silence(f.clock.Now())
 	return f.LogAge() > f.freshFor && heard > 0 && freshest <= f.freshFor
 }
 
-// Change appends a change of grants and waits until it has been applied or is
-// void.
+// Change appends a change of grants and waits until it, or a change with a newer
+// fence, has been applied.
 func (f *follower) Change(ctx context.Context, g config.Grants) error {
 	return f.append(ctx, config.Record{Grants: &g}, func(s *config.State) bool {
 		fence := s.Fences[g.Group]
@@ -218,8 +224,8 @@
 	})
 }
 
-// Edit appends an operator's edit and returns what became of it. A repetition
-// with the same id returns the first result.
+// Edit appends an operator's edit and returns its result. A retry with the same id
+// returns the first result.
 func (f *follower) Edit(ctx context.Context, e config.Edit) (r config.Result, err error) {
 	defer fault.Note(&err, "edit %q", e.ID)
 	err = f.append(ctx, config.Record{Edit: &e}, func(s *config.State) bool {
@@ -232,8 +238,8 @@
 	return f.State().Results[e.ID], nil
 }
 
-// append appends a record until done holds for the state. The record may be
-// appended more than once, which the state's rules make harmless.
+// append appends a record until done returns true for the state. The record may be
+// appended more than once; the state machine ignores the copies.
 func (f *follower) append(ctx context.Context, rec config.Record, done func(*config.State) bool) error {
 	data, err := frame.Encode(rec)
 	if err != nil {
@@ -266,8 +272,8 @@
 	return nil
 }
 
-// await waits until done holds, for as long as reading an appended record may
-// take.
+// await waits until done returns true, for at most maxFollowWait. It reports whether
+// it did.
 func (f *follower) await(ctx context.Context, done func(*config.State) bool) bool {
 	timeout := time.After(maxFollowWait)
 	for {
@@ -287,7 +293,7 @@
 	}
 }
 
-// snapshot appends a snapshot of the configuration.
+// snapshot appends a snapshot of the configuration to its stream.
 func (f *follower) snapshot(ctx context.Context) error {
 	f.mu.Lock()
 	if !f.replay.Ready() {
@@ -303,7 +309,7 @@
 	return err
 }
 
-// sinceSnapshot returns the records since the newest snapshot.
+// sinceSnapshot returns the number of records since the newest snapshot.
 func (f *follower) sinceSnapshot() int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/node/entry/remote.go
+++ b/internal/node/entry/remote.go
@@ -14,7 +14,8 @@
 	"lagooncourse/internal/node/wire"
 )
 
-// remote reaches the owners of groups, on this host or on others.
+// remote implements owner.Remote: it sends requests to the owners of groups, on this
+// host or on others.
 type remote struct{ h *Host }
 
 var (
@@ -22,8 +23,8 @@
 	_ route.Forwarder = (*Host)(nil)
 )
 
-// toOwner sends a request to the owner of a group: by a direct call if that is
-// this host, and by a frame otherwise.
+// toOwner sends a request to the owner of a group. If that is this host, it calls
+// local, otherwise the peer's method m.
 func toOwner[Req, Resp any](
 	ctx context.Context, h *Host, name string, m frame.Method[Req, Resp], req Req,
 	local func(*owner.Group, context.Context, Req) (Resp, error),
@@ -39,7 +40,7 @@
 	return frame.Call(ctx, h.pool, o.Addr, m, req)
 }
 
-// owned returns the group if this host owns it.
+// owned returns the group if this host owns it, or nil.
 func (h *Host) owned(name string) *owner.Group {
 	h.mu.Lock()
 	og := h.groups[name]
@@ -50,14 +51,17 @@
 	return og.g
 }
 
+// Reserve implements owner.Remote.
 func (r *remote) Reserve(ctx context.Context, msg wire.ReserveMsg) (wire.ReserveAnswer, error) {
 	return toOwner(ctx, r.h, msg.Group, wire.Reserve, msg, (*owner.Group).Reserve)
 }
 
+// Start implements owner.Remote.
 func (r *remote) Start(ctx context.Context, msg wire.StartMsg) (wire.StartAnswer, error) {
 	return toOwner(ctx, r.h, msg.Group, wire.Start, msg, (*owner.Group).Start)
 }
 
+// Stop implements owner.Remote.
 func (r *remote) Stop(ctx context.Context, msg wire.StopMsg) error {
 	_, err := toOwner(ctx, r.h, msg.Group, wire.Stop, msg, stopAt)
 	return err
@@ -67,15 +71,17 @@
 	return wire.Empty{}, g.Stop(ctx, msg)
 }
 
+// Where implements owner.Remote.
 func (r *remote) Where(ctx context.Context, msg wire.WhereMsg) (wire.WhereAnswer, error) {
 	return toOwner(ctx, r.h, msg.Group, wire.Where, msg, (*owner.Group).Where)
 }
 
+// Report implements owner.Remote.
 func (r *remote) Report(ctx context.Context, msg wire.ReportMsg) (wire.ReportAnswer, error) {
 	return toOwner(ctx, r.h, msg.Group, wire.Report, msg, (*owner.Group).Report)
 }
 
-// Duties lists the groups of all live hosts.
+// Duties returns the descriptions of the groups that live hosts own.
 func (r *remote) Duties() []wire.Duty {
 	var duties []wire.Duty
 	for _, m := range r.h.table.Live(r.h.clock.Now()) {
@@ -84,21 +90,22 @@
 	return duties
 }
 
-// MayClaim notes the holder that the log names, and reports whether nobody is
-// known to hold the group.
+// MayClaim records the owner that was read from the log, and reports whether the
+// group has no live owner that can write its stream.
 func (r *remote) MayClaim(name string, epoch uint64, holder group.Holder) bool {
 	now := r.h.clock.Now()
 	r.h.table.Note(name, peers.Owner{Host: holder.Host, Addr: holder.Addr, Epoch: epoch}, now)
 	return !r.h.held(name, r.h.eligible(now), now)
 }
 
+// Retries of requests while a group has no owner.
 const (
 	ownerRetry = 100 * time.Millisecond
-	ownerWait  = 8 * time.Second // how long a request waits for a group to find an owner
+	ownerWait  = 8 * time.Second // maximum time until the group has an owner
 )
 
-// withOwner repeats fn until it reaches an owner, as long as it surely had no
-// effect, up to ownerWait.
+// withOwner retries fn while the group's owner cannot be reached, for up to
+// ownerWait. It retries only if fn certainly had no effect.
 func withOwner[T any](ctx context.Context, fn func(context.Context) (T, error)) (v T, err error) {
 	ctx, cancel := context.WithTimeout(ctx, ownerWait)
 	defer cancel()
@@ -115,7 +122,7 @@
 	}
 }
 
-// noOwner reports whether an error says that the owner was not reached.
+// noOwner reports whether err means that the owner could not be reached.
 func noOwner(err error) bool {
 	return fault.Is(err, fault.NotOwner) || fault.Is(err, fault.Unavailable)
 }
@@ -143,7 +150,8 @@
 	frame.Handle(s, wire.Serve, h.serveLocal)
 }
 
-// handleOwned serves a method of a group that this host must own.
+// handleOwned registers a handler that calls fn with the group that the request
+// names. It returns NotOwner if this host does not own the group.
 func handleOwned[Req, Resp any](
 	h *Host, m frame.Method[Req, Resp], name func(Req) string,
 	fn func(*owner.Group, context.Context, Req) (Resp, error),
@@ -158,7 +166,7 @@
 	})
 }
 
-// enter counts a request in flight and returns the function that ends it.
+// enter counts a request as in flight and returns the function that ends it.
 func (h *Host) enter() func() {
 	h.mu.Lock()
 	h.inFlight++
@@ -170,6 +178,7 @@
 	}
 }
 
+// groupOfJob returns the name of the group in the job's id.
 func groupOfJob(id jobs.ID) string {
 	name, _ := id.Group()
 	return name
@@ -187,7 +196,8 @@
 	return g.Once(ctx, m, dispatcher{h.router})
 }
 
-// dispatcher sends calls that must run at most once through the router.
+// dispatcher sends calls that must run at most once through the router, which then
+// retries only attempts that did not run.
 type dispatcher struct{ r *route.Router }
 
 var _ owner.Dispatcher = dispatcher{}
@@ -198,7 +208,8 @@
 	return d.r.Call(ctx, msg)
 }
 
-// ownPools lists the pools for which this host is responsible.
+// ownPools returns the pools that this host serves: those for which it is the most
+// preferred live host.
 func (h *Host) ownPools() []wire.Pool {
 	live := h.table.Live(h.clock.Now())
 	h.mu.Lock()
@@ -226,8 +237,8 @@
 	return list
 }
 
-// Serve implements route.Forwarder: it sends the call to the host that is
-// responsible for the pool.
+// Serve implements route.Forwarder. It sends the call to the host that serves the
+// pool.
 func (h *Host) Serve(ctx context.Context, msg wire.CallMsg) (wire.CallAnswer, error) {
 	for _, m := range h.table.Live(h.clock.Now()) {
 		for _, p := range m.Pools {
@@ -243,14 +254,14 @@
 	return wire.CallAnswer{}, fault.New(fault.Unavailable, fault.NotRun, "no host serves group %q", msg.Group)
 }
 
-// serveLocal sends a call to one of this host's targets.
+// serveLocal sends a call to a target of one of this host's pools.
 func (h *Host) serveLocal(ctx context.Context, msg wire.CallMsg) (wire.CallAnswer, error) {
 	defer h.enter()()
 	h.mu.Lock()
 	p := h.pools[poolKey{group: msg.Group, service: msg.Service}]
 	h.mu.Unlock()
 	if p == nil {
-		return wire.CallAnswer{}, fault.New(fault.Unavailable, fault.NotRun, "host %q knows no target of group %q", h.set.Host.ID, msg.Group)
+		return wire.CallAnswer{}, fault.New(fault.Unavailable, fault.NotRun, "host %q has no targets of group %q", h.set.Host.ID, msg.Group)
 	}
 	return p.Serve(ctx, msg)
 }
