--- a/internal/node/entry/admin.go
+++ b/internal/node/entry/admin.go
@@ -14,10 +14,10 @@
 	"lagooncourse/internal/node/wire"
 )
 
-// This file is the part of the API that concerns operators.
+// This file implements the operators' part of the API.
 
-// postEdit applies an operator's edit. A lost race is a conflict that names
-// the winner.
+// postEdit applies an operator's edit. If another edit of the same base version was
+// applied first, the error is a conflict that names its author.
 func (h *Host) postEdit(r *http.Request) (res config.Result, err error) {
 	if err := h.operator(r); err != nil {
 		return res, err
@@ -38,14 +38,14 @@
 	if err == nil && !res.Accepted {
 		return res, &fault.Error{
 			Code: fault.Conflict, Ran: fault.NotRun, Field: "base", Value: strconv.FormatInt(int64(e.Base), 10),
-			Detail: "object " + e.Object() + " stands at version " + strconv.FormatInt(int64(res.Version), 10) +
-				", made by " + strconv.Quote(res.Winner),
+			Detail: "object " + e.Object() + " has version " + strconv.FormatInt(int64(res.Version), 10) +
+				", written by " + strconv.Quote(res.Winner),
 		}
 	}
 	return res, err
 }
 
-// ConfigAnswer is the configuration in force on one host.
+// ConfigAnswer is the configuration as applied by one host.
 type ConfigAnswer struct {
 	Offset int64                   `json:"offset"`
 	AgeMs  int64                   `json:"ageMs"`
@@ -55,6 +55,7 @@
 	Azs    map[string]config.Az    `json:"azs"`
 }
 
+// getConfig returns the configuration to an operator.
 func (h *Host) getConfig(r *http.Request) (a ConfigAnswer, err error) {
 	if err := h.operator(r); err != nil {
 		return a, err
@@ -72,6 +73,7 @@
 	Action jobs.Action `json:"action"`
 }
 
+// postSettle applies an operator's decision on a parked task.
 func (h *Host) postSettle(r *http.Request) (a JobAnswer, err error) {
 	if err := h.operator(r); err != nil {
 		return a, err
--- a/internal/node/entry/api.go
+++ b/internal/node/entry/api.go
@@ -27,13 +27,14 @@
 	HeaderRan        = "Call-Ran"
 )
 
+// Limits of requests.
 const (
-	maxWait     = time.Minute // for requests that wait for a job's end
-	maxListJobs = 1000
+	maxWait     = time.Minute // wait for the end of a job
+	maxListJobs = 1000        // jobs listed per group
 	maxTimeout  = 10 * time.Minute
 )
 
-// routes lists the HTTP API. It is documented in docs/API.md.
+// routes returns the routes of the HTTP API, which docs/API.md documents.
 func (h *Host) routes() []rest.Route {
 	route := func(method, path string, fn http.HandlerFunc) rest.Route {
 		return rest.Route{Method: method, Path: path, Handler: h.metrics.count(path, fn)}
@@ -55,7 +56,8 @@
 	}
 }
 
-// answer turns a function into a handler that writes JSON or a problem document.
+// answer returns a handler that writes the result of fn as JSON, or its error as a
+// problem document.
 func answer[T any](fn func(*http.Request) (T, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		v, err := fn(r)
@@ -67,14 +69,14 @@
 	}
 }
 
-// bearer returns the key that came with the request, or "".
+// bearer returns the key in the request's Authorization header, or "".
 func bearer(r *http.Request) string {
 	key, _ := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	return strings.TrimSpace(key)
 }
 
-// team returns the team whose key came with the request, or the open team for
-// a request without a key.
+// team returns the team of the request's key, or config.OpenTeam if the request has
+// no key.
 func (h *Host) team(r *http.Request) (string, error) {
 	if err := h.cell.Fresh(); err != nil {
 		return "", err
@@ -86,29 +88,30 @@
 	return h.cell.State().TeamOfKey(key)
 }
 
-// allowed returns an error unless the team may use the named thing. A request
-// without a key that is not open to all lacks a key.
+// allowed returns an error unless the team may use the named queue, service or
+// availability zone. If the request had no key, the error is NoKey.
 func (h *Host) allowed(team, kind, name string) error {
 	err := h.cell.State().Allowed(team, kind, name)
 	if err != nil && team == config.OpenTeam {
-		return fault.New(fault.NoKey, fault.NotRun, "%s %q is not open to all; a key is needed", kind, name)
+		return fault.New(fault.NoKey, fault.NotRun, "%s %q requires a key", kind, name)
 	}
 	return err
 }
 
-// operator returns an error unless the request comes from an operator.
+// operator returns an error unless the request comes from an operator: it has the
+// operators' key or, if none is set, comes from the loopback address.
 func (h *Host) operator(r *http.Request) error {
 	if hash := h.set.API.OperatorKey; hash != "" {
 		if config.HashSecret(bearer(r)) == hash {
 			return nil
 		}
-		return fault.New(fault.NoKey, fault.NotRun, "an operator's key is needed")
+		return fault.New(fault.NoKey, fault.NotRun, "the request requires the operators' key")
 	}
 	host, _, _ := net.SplitHostPort(r.RemoteAddr)
 	if ip := net.ParseIP(host); ip != nil && ip.IsLoopback() {
 		return nil
 	}
-	return fault.New(fault.Denied, fault.NotRun, "operators are admitted from the loopback address only")
+	return fault.New(fault.Denied, fault.NotRun, "operator requests are accepted from the loopback address only")
 }
 
 func (h *Host) getHealth(w http.ResponseWriter, _ *http.Request) {
@@ -117,7 +120,7 @@
 	}{"ok"})
 }
 
-// getReady tells the balancer whether to send requests here.
+// getReady reports to the load balancer whether this host accepts requests.
 func (h *Host) getReady(w http.ResponseWriter, _ *http.Request) {
 	if err := h.Ready(); err != nil {
 		httpd.WriteError(w, err)
@@ -140,13 +143,13 @@
 	return h.cell.Fresh()
 }
 
-// Dump is the state of an entry host.
+// Dump is a snapshot of an entry host's state for operators.
 type Dump struct {
 	Host     string            `json:"host"`
 	Az       string            `json:"az"`
 	UptimeMs int64             `json:"uptimeMs"`
 	Leaving  bool              `json:"leaving"`
-	Ready    string            `json:"ready"` // "yes", or why not
+	Ready    string            `json:"ready"` // "yes", or the error of Ready
 	CellNext int64             `json:"cellNext"`
 	CellAge  int64             `json:"cellAgeMs"`
 	Live     []peers.Peer      `json:"live"`
@@ -156,7 +159,7 @@
 	Traffic  Traffic           `json:"trafficBytes"`
 }
 
-// Dump returns the host's state.
+// Dump returns a snapshot of the host's state.
 func (h *Host) Dump() Dump {
 	age, next := h.cell.Age()
 	now := h.clock.Now()
@@ -177,13 +180,13 @@
 	return d
 }
 
-// Traffic is what a host has exchanged with other entry hosts.
+// Traffic is the number of bytes exchanged with other entry hosts.
 type Traffic struct {
 	Control frame.Bytes `json:"control"` // membership and configuration
-	Work    frame.Bytes `json:"work"`    // what grows with jobs and calls
+	Work    frame.Bytes `json:"work"`    // everything else, proportional to jobs and calls
 }
 
-// traffic sums the bytes of both sides of the protocol.
+// traffic sums the bytes of the server and client sides of the peer protocol.
 func (h *Host) traffic() (t Traffic) {
 	for _, side := range []*frame.Traffic{h.frames.Traffic(), h.pool.Traffic()} {
 		for method, b := range side.ByMethod() {
--- a/internal/node/entry/calls.go
+++ b/internal/node/entry/calls.go
@@ -15,9 +15,9 @@
 	"lagooncourse/internal/node/wire"
 )
 
-// This file is the part of the API that concerns calls to services.
+// This file implements the API for calls to services.
 
-// postCall carries one call to a target and its whole answer back.
+// postCall forwards a call to a target and returns the complete response.
 func (h *Host) postCall(w http.ResponseWriter, r *http.Request) {
 	msg, timeout, err := h.callOf(r)
 	if err != nil {
@@ -40,7 +40,7 @@
 	_, _ = w.Write(a.Body)
 }
 
-// callOf checks a call's headers and body.
+// callOf parses and validates the headers and body of a call.
 func (h *Host) callOf(r *http.Request) (msg wire.CallMsg, timeout time.Duration, err error) {
 	team, err := h.team(r)
 	if err != nil {
@@ -69,6 +69,7 @@
 	return msg, timeout, err
 }
 
+// timeoutOf returns the timeout of a call from its header, or the default.
 func (h *Host) timeoutOf(r *http.Request) (time.Duration, error) {
 	text := r.Header.Get(HeaderTimeout)
 	if text == "" {
@@ -81,8 +82,8 @@
 	return time.Duration(ms) * time.Millisecond, nil
 }
 
-// call runs an idempotent call by the shortest way, and any other through the
-// group that records its intent.
+// call routes an idempotent call directly to a pool. Any other call goes through the
+// owner of its group, which records the call in the log before sending it.
 func (h *Host) call(ctx context.Context, msg wire.CallMsg) (wire.CallAnswer, error) {
 	if msg.Idempotent {
 		return h.router.Call(ctx, msg)
--- a/internal/node/entry/jobs.go
+++ b/internal/node/entry/jobs.go
@@ -16,9 +16,9 @@
 	"lagooncourse/internal/node/wire"
 )
 
-// This file is the part of the API that concerns jobs.
+// This file implements the API for jobs.
 
-// postJob accepts a job. It answers once the job is in the log.
+// postJob accepts a job. It responds after the job has been written to the log.
 func (h *Host) postJob(r *http.Request) (j jobs.Job, err error) {
 	spec, err := httpd.ReadJSON[jobs.Spec](r, h.set.API.MaxBody)
 	if err != nil {
@@ -44,14 +44,15 @@
 	})
 }
 
+// groupNames returns the sorted names of the groups in the newest host list.
 func (h *Host) groupNames() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return groupNames(h.list, h.set.Platform.GroupsInAz)
 }
 
-// admit returns an error for a job that its team may not run or that can never
-// run on the cell's workers.
+// admit returns an error for a job that is invalid, that its team may not run, or
+// that can never run on the workers of the cell.
 func (h *Host) admit(spec jobs.Spec) error {
 	if err := spec.Check(); err != nil {
 		return err
@@ -75,12 +76,13 @@
 	return h.feasible(spec)
 }
 
+// infeasible returns an error for a job that can never run because of the given field.
 func infeasible(field string, value jobs.Size, detail string) error {
 	return &fault.Error{Code: fault.Infeasible, Ran: fault.NotRun, Field: field, Value: value.String(), Detail: detail}
 }
 
-// feasible returns an error if no worker in the host list could ever hold a
-// task of the job.
+// feasible returns an error if no worker in the host list is large enough for a task
+// of the job.
 func (h *Host) feasible(spec jobs.Spec) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -93,10 +95,11 @@
 			return nil
 		}
 	}
-	return infeasible("size", spec.Size, "fits no worker of the cell")
+	return infeasible("size", spec.Size, "no worker of the cell is large enough")
 }
 
-// getJob returns a job, once it has ended if the request asks to wait.
+// getJob returns a job. If the request sets waitMs, it responds when the job has
+// ended or the wait has expired.
 func (h *Host) getJob(r *http.Request) (a JobAnswer, err error) {
 	id, err := jobID(r)
 	if err != nil {
@@ -110,13 +113,14 @@
 	return JobAnswer{Job: s.Job, State: s.Job.State(), Why: s.Why}, err
 }
 
-// JobAnswer is a job with its state as a whole and why it waits.
+// JobAnswer is a job with its overall state and the reasons why it is waiting.
 type JobAnswer struct {
 	jobs.Job
 	State jobs.State `json:"state"`
 	Why   []string   `json:"why,omitempty"`
 }
 
+// jobID returns the job id in the request's path.
 func jobID(r *http.Request) (jobs.ID, error) {
 	id := jobs.ID(pathvar.Vars(r)["id"])
 	if _, ok := id.Group(); !ok {
@@ -125,7 +129,8 @@
 	return id, nil
 }
 
-// queryInt parses a whole number of the query between 0 and most.
+// queryInt parses an integer query parameter between 0 and most. It returns 0 if the
+// parameter is missing.
 func queryInt(r *http.Request, name string, most int64) (int64, error) {
 	text := r.URL.Query().Get(name)
 	if text == "" {
@@ -138,8 +143,9 @@
 	return n, nil
 }
 
-// jobOf returns a job that the request may see: one of its own team, or any
-// for an operator.
+// jobOf returns a job if the request may read it: the job belongs to the request's
+// team, or the request comes from an operator. It waits up to waitMs for the job's
+// end.
 func (h *Host) jobOf(r *http.Request, id jobs.ID, waitMs int64) (s wire.StatusAnswer, err error) {
 	team, err := h.team(r)
 	if err != nil && h.operator(r) != nil {
@@ -157,8 +163,8 @@
 	return h.await(r.Context(), s, waitMs)
 }
 
-// await waits for the job's end. It asks again when the group's owner changes
-// in between.
+// await waits up to waitMs for the job's end. It retries when the group's owner
+// fails or changes during the wait.
 func (h *Host) await(ctx context.Context, s wire.StatusAnswer, waitMs int64) (wire.StatusAnswer, error) {
 	deadline := h.clock.Now().Add(time.Duration(waitMs) * time.Millisecond)
 	for !s.Job.Ended() {
@@ -181,10 +187,11 @@
 	return s, nil
 }
 
-// statusWait bounds one wait at a group's owner, so that a dead owner is
-// noticed.
+// statusWait limits a single wait at a group's owner, so that the failure of an owner
+// is detected.
 const statusWait = 2 * time.Second
 
+// postCancel cancels a job.
 func (h *Host) postCancel(r *http.Request) (a JobAnswer, err error) {
 	id, err := jobID(r)
 	if err != nil {
@@ -204,7 +211,8 @@
 	Jobs []JobAnswer `json:"jobs"`
 }
 
-// getJobs lists jobs: those of the key's team, or of all teams for an operator.
+// getJobs lists the jobs of the request's team, or of all teams if an operator sends
+// the request without a team's key.
 func (h *Host) getJobs(r *http.Request) (l JobList, err error) {
 	team := ""
 	if h.operator(r) != nil || bearer(r) != "" {
