--- a/internal/node/entry/metrics.go
+++ b/internal/node/entry/metrics.go
@@ -9,8 +9,8 @@
 	"lagooncourse/internal/base/fault"
 )
 
-// metrics is the host's registry. Gauges are read from the host when they are
-// scraped, so nothing is counted twice.
+// metrics holds the metrics of a host. Gauges and group metrics are read from the
+// host at each scrape and are not stored separately.
 type metrics struct {
 	registry *prometheus.Registry
 	requests *prometheus.CounterVec
@@ -51,18 +51,19 @@
 	return m
 }
 
+// gauge registers a gauge whose value is read at each scrape.
 func (m *metrics) gauge(name, help string, read func() float64) {
 	m.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Namespace: metricPrefix, Name: name, Help: help,
 	}, read))
 }
 
-// called counts a call by its outcome.
+// called counts a call by service and outcome.
 func (m *metrics) called(service string, ran fault.Outcome) {
 	m.calls.WithLabelValues(service, string(ran)).Inc()
 }
 
-// count wraps a handler so that its answers are counted by status.
+// count wraps a handler to count its responses by route and status.
 func (m *metrics) count(route string, fn http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		sw := &statusWriter{ResponseWriter: w, status: http.StatusOK}
@@ -71,7 +72,7 @@
 	}
 }
 
-// statusWriter remembers the status of an answer.
+// statusWriter records the status of a response.
 type statusWriter struct {
 	http.ResponseWriter
 	status int
@@ -82,10 +83,10 @@
 	w.ResponseWriter.WriteHeader(status)
 }
 
-// Unwrap gives the response controller access to the underlying writer.
+// Unwrap returns the underlying writer, for http.ResponseController.
 func (w *statusWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-// groupCollector reports the groups that the host owns.
+// groupCollector collects the metrics of the groups that the host owns.
 type groupCollector struct{ h *Host }
 
 var _ prometheus.Collector = (*groupCollector)(nil)
--- a/internal/node/entry/settings.go
+++ b/internal/node/entry/settings.go
@@ -56,9 +56,10 @@
 
 var _ conf.Checker = Settings{}
 
+// minRenewalsInLease is the minimum length of a lease in renewal intervals.
 const minRenewalsInLease = 3
 
-// Check returns the errors that span several keys.
+// Check returns errors that depend on several keys, and invalid addresses and URLs.
 func (s Settings) Check() error {
 	var errs []error
 	bad := func(section, key string, value any, format string, args ...any) {
@@ -91,12 +92,13 @@
 	return errors.Join(errs...)
 }
 
+// isAddr reports whether s has the form IP:port.
 func isAddr(s string) bool {
 	host, port, err := net.SplitHostPort(s)
 	return err == nil && net.ParseIP(host) != nil && port != ""
 }
 
-// owner returns the timing of a group.
+// owner returns the settings of a group's timing.
 func (s Settings) owner() owner.Timing {
 	t := owner.DefaultTiming()
 	t.Commit, t.Renew, t.Lease, t.Margin = s.Timing.Commit, s.Timing.Renew, s.Timing.Lease, s.Timing.Margin
