--- a/internal/node/entry/bench_test.go
+++ b/internal/node/entry/bench_test.go
@@ -18,9 +18,9 @@
 	"lagooncourse/internal/plat/fakes"
 )
 
-// BenchmarkSubmit offers 1,000 submissions a second to one entry host of three,
-// while the log takes 300 appends a second, and reports what was accepted and
-// how long it took.
+// BenchmarkSubmit sends 1,000 submissions per second to one of three entry hosts,
+// with a log that is limited to 300 appends per second. It reports the rate and the
+// latency of the accepted submissions.
 func BenchmarkSubmit(b *testing.B) {
 	c := startTestCell(b, testCellConfig{hosts: 3, workers: 50, appends: 300})
 	c.team("lab", 1_000_000)
@@ -63,8 +63,8 @@
 	}
 }
 
-// BenchmarkTakeover kills the owner of a group and measures the time until
-// another host owns it and until it has taken the inventory of its workers.
+// BenchmarkTakeover kills an entry host and measures the time until other hosts own
+// all of its groups.
 func BenchmarkTakeover(b *testing.B) {
 	h := hdrhistogram.New(1, time.Minute.Milliseconds(), 3)
 	for b.Loop() {
@@ -76,7 +76,7 @@
 		names := victim.epochs()
 		start := time.Now()
 		victim.Kill()
-		until(b, "others own its groups", func() bool {
+		until(b, "other hosts own its groups", func() bool {
 			for name := range names {
 				if c.hosts[0].owned(name) == nil && c.hosts[1].owned(name) == nil {
 					return false
@@ -91,8 +91,8 @@
 	b.ReportMetric(float64(h.Max()), "max-ms")
 }
 
-// BenchmarkOutage measures how many calls are answered in each second while
-// the log is down, as a share of those before.
+// BenchmarkOutage reports how many of 500 calls succeed before and during an outage
+// of the log.
 func BenchmarkOutage(b *testing.B) {
 	for _, idempotent := range []bool{true, false} {
 		b.Run(fmt.Sprintf("idempotent=%t", idempotent), func(b *testing.B) {
@@ -111,7 +111,8 @@
 	}
 }
 
-// answered makes 100 calls a second for 5 s and counts the answers.
+// answered sends 100 calls per second for 5 s and returns the number of successful
+// ones.
 func answered(c *testCell, idempotent bool, salt string) int64 {
 	const calls = 500
 	var done atomic.Int64
--- a/internal/node/entry/cell_test.go
+++ b/internal/node/entry/cell_test.go
@@ -19,15 +19,16 @@
 	"lagooncourse/internal/plat/stream"
 )
 
-// pollBound is how long a test waits for something that has to happen.
+// pollBound is the maximum time that a test waits for a condition.
 const pollBound = 30 * time.Second
 
+// until waits until ok returns true and fails the test after pollBound.
 func until(t testing.TB, what string, ok func() bool) {
 	t.Helper()
 	polls.Until(t, pollBound, what, ok)
 }
 
-// testCell is a cell in one process on real sockets.
+// testCell is a cell whose parts run in the test process and communicate over TCP.
 type testCell struct {
 	t     testing.TB
 	log   *fakes.Log
@@ -43,11 +44,12 @@
 	workers   int
 	retention time.Duration
 	appends   int
-	timing    string // further lines of the section [timing]
+	timing    string // additional lines of the [timing] section
 }
 
 var testAzs = []string{"a", "b", "c"}
 
+// startTestCell starts a cell and waits until every host is ready.
 func startTestCell(t testing.TB, cfg testCellConfig) *testCell {
 	t.Helper()
 	c := &testCell{t: t}
@@ -77,7 +79,7 @@
 	return c
 }
 
-// start adds an entry host, which finds the others through the first.
+// start starts an entry host. It finds the other hosts through the first one.
 func (c *testCell) start(i int, timing string) *Host {
 	c.t.Helper()
 	peers := "127.0.0.1:1"
@@ -125,7 +127,7 @@
 	}
 }
 
-// edit applies an edit through a host and fails the test if it is refused.
+// edit applies an edit through a host and fails the test if it is rejected.
 func (c *testCell) edit(h *Host, e config.Edit) config.Result {
 	c.t.Helper()
 	e.Base = h.cell.State().VersionOf(e.Object())
@@ -134,14 +136,15 @@
 	return r
 }
 
-// team makes a plan that may use everything, with the key NAME.secret.
+// team creates a team with the key NAME.secret and a plan that allows all queues,
+// services and availability zones.
 func (c *testCell) team(name string, cpu int64) {
 	c.t.Helper()
 	h := c.hosts[len(c.hosts)-1]
 	c.edit(h, config.Edit{ID: name + "-1", Kind: config.SetPlan, Name: name, Share: 1, Limit: jobs.Size{CPU: cpu, Mem: jobs.Unlimited}})
 	c.edit(h, config.Edit{ID: name + "-2", Kind: config.AddAllow, Name: name, Items: []string{"queue:*", "service:*", "az:*"}})
 	c.edit(h, config.Edit{ID: name + "-3", Kind: config.GiveKey, Name: name, Team: name, Secret: config.HashSecret("secret")})
-	until(c.t, "every live host knows the key", func() bool {
+	until(c.t, "every ready host has applied the key", func() bool {
 		for _, h := range c.hosts {
 			if h.Ready() != nil {
 				continue
@@ -154,7 +157,7 @@
 	})
 }
 
-// send exchanges JSON with a host.
+// send sends a JSON request to a host and decodes the response.
 func send[Resp any](h *Host, key, method, path string, req any) (Resp, error) {
 	header := http.Header{}
 	if key != "" {
@@ -169,7 +172,7 @@
 	return jobs.Spec{Name: name, Kind: jobs.Batch, Tasks: 1, Size: jobs.Size{CPU: 1000, Mem: 16}, RunMs: runMs}
 }
 
-// submit sends a job and fails the test if it is refused.
+// submit submits a job and fails the test if it is rejected.
 func (c *testCell) submit(h *Host, team string, spec jobs.Spec) jobs.Job {
 	c.t.Helper()
 	j, err := send[jobs.Job](h, team+".secret", http.MethodPost, "/jobs", spec)
@@ -177,7 +180,7 @@
 	return j
 }
 
-// state returns a job's state as any host tells it.
+// state returns a job's state as reported by h, or "" after an error.
 func (c *testCell) state(h *Host, id jobs.ID) jobs.State {
 	a, err := send[JobAnswer](h, "", http.MethodGet, "/jobs/"+string(id), nil)
 	if err != nil {
--- a/internal/node/entry/entry_test.go
+++ b/internal/node/entry/entry_test.go
@@ -22,15 +22,15 @@
 	"lagooncourse/internal/plat/worker"
 )
 
-// refusal is the part of a problem document that the scripts check.
+// refusal is the part of a problem document that TestBadRequests checks.
 type refusal struct {
 	Status int           `json:"status"`
 	Ran    fault.Outcome `json:"ran"`
 	Field  string        `json:"field"`
 }
 
-// TestBadRequests sends the requests of testdata/requests.txt. Each is refused
-// with the status and field beside it, and nothing runs.
+// TestBadRequests sends the requests in testdata/requests.txt. Each must be rejected
+// with the status and field on its line, and nothing may run.
 func TestBadRequests(t *testing.T) {
 	c := startTestCell(t, testCellConfig{hosts: 1, workers: 4})
 	c.team("lab", 4000)
@@ -50,7 +50,8 @@
 	assert.Equal(t, len(c.fleet.Runs())+len(c.execs.Executions()), 0)
 }
 
-// checkRefusal sends one line "STATUS FIELD KEY METHOD PATH HEADER BODY".
+// checkRefusal sends the request of a line "STATUS FIELD KEY METHOD PATH HEADER BODY"
+// and checks the response. LONG in the body stands for 2 MiB of text.
 func checkRefusal(t *testing.T, h *Host, line string) {
 	t.Helper()
 	parts := strings.SplitN(line, " ", 7)
@@ -82,8 +83,9 @@
 	assert.Equal(t, resp.StatusCode, status, line)
 }
 
-// TestRacingOperators has two operators change the same plan on two hosts. One
-// wins, the other learns who, and a repetition of either changes nothing.
+// TestRacingOperators sends conflicting edits of the same plan to two hosts at the
+// same time. One is applied, and the other is rejected with an error that names the
+// author of the first. Sending the applied edit again changes nothing.
 func TestRacingOperators(t *testing.T) {
 	c := startTestCell(t, testCellConfig{hosts: 2, workers: 2})
 	c.team("lab", 4000)
@@ -115,23 +117,23 @@
 		assert.NilError(t, err)
 		assert.Assert(t, again.Accepted)
 		base = again.Version
-		until(t, "both hosts agree", func() bool {
+		until(t, "both hosts have the same plan", func() bool {
 			a, b := c.hosts[0].cell.State().Plans["lab"], c.hosts[1].cell.State().Plans["lab"]
 			return a == b && a.Version == base
 		})
 	}
 }
 
-// TestTruncatedRetention restarts all hosts after retention has dropped the
-// beginning of every stream. Configuration, jobs and results survive in the
-// snapshots.
+// TestTruncatedRetention restarts the cell after the log's retention has deleted the
+// beginning of every stream. The configuration, jobs and results must be restored
+// from the snapshots.
 func TestTruncatedRetention(t *testing.T) {
 	c := startTestCell(t, testCellConfig{hosts: 2, workers: 4, timing: "snapshot = 1s"})
 	c.team("lab", 8000)
 	j := c.submit(c.hosts[0], "lab", testSpec("survey", 50).WithSubmission("first"))
 	until(t, "the job is done", func() bool { return c.state(c.hosts[0], j.ID) == jobs.Done })
 	group, _ := j.ID.Group()
-	until(t, "both streams hold a snapshot behind the job", func() bool {
+	until(t, "both streams have a snapshot after the job", func() bool {
 		return c.hosts[0].cell.sinceSnapshot() == 0 && snapshotted(c, group)
 	})
 	for _, h := range c.hosts {
@@ -139,18 +141,17 @@
 	}
 	c.hosts = nil
 	c.log.Set(fakes.LogSwitch{KeepLast: 2})
-	assert.Assert(t, c.log.Records(config.Stream)[0].Offset > 0, "nothing was dropped")
+	assert.Assert(t, c.log.Records(config.Stream)[0].Offset > 0, "no records were deleted")
 	c.log.Set(fakes.LogSwitch{})
 	h := c.start(0, "")
 	until(t, "the new host is ready", func() bool { return h.Ready() == nil })
-	until(t, "the job is known", func() bool { return c.state(h, j.ID) == jobs.Done })
+	until(t, "the host has restored the job", func() bool { return c.state(h, j.ID) == jobs.Done })
 	again := c.submit(h, "lab", testSpec("survey", 50).WithSubmission("first"))
 	assert.Equal(t, again.ID, j.ID)
 	assert.Equal(t, len(c.fleet.Runs()), 1)
 }
 
-// snapshotted reports whether the newest snapshot of a group has no records
-// behind it.
+// snapshotted reports whether no record follows the newest snapshot of a group.
 func snapshotted(c *testCell, name string) bool {
 	for _, h := range c.hosts {
 		if g := h.owned(name); g != nil {
@@ -161,8 +162,9 @@
 	return false
 }
 
-// TestLimitInForce fills a team's limit from all hosts, lowers it, and checks
-// what really ran.
+// TestLimitInForce submits jobs through all hosts until a team's limit is reached and
+// then lowers the limit. The tasks that run at once must never exceed the limit, and
+// must meet the lower limit within 4 s.
 func TestLimitInForce(t *testing.T) {
 	c := startTestCell(t, testCellConfig{hosts: 3, workers: 6})
 	c.team("lab", 6000)
@@ -174,13 +176,14 @@
 		ID: "lower", Kind: config.SetPlan, Name: "lab", Share: 1, Limit: jobs.Size{CPU: 2000, Mem: jobs.Unlimited},
 	})
 	lowered := time.Now()
-	until(t, "the lower limit is in force", func() bool { return running(c) <= 2 })
+	until(t, "the running tasks meet the lower limit", func() bool { return running(c) <= 2 })
 	assert.Assert(t, time.Since(lowered) < 4*time.Second, "it took %s", time.Since(lowered))
 	until(t, "all jobs are done", func() bool { return finished(c) == 30 })
 	assert.Assert(t, peak(c, 0) <= 6, "%d ran at once", peak(c, 0))
 	assert.Assert(t, peak(c, lowered.Add(4*time.Second).UnixMilli()) <= 2)
 }
 
+// running returns the number of tasks that run on the workers.
 func running(c *testCell) int {
 	n := 0
 	for _, r := range c.fleet.Runs() {
@@ -191,6 +194,7 @@
 	return n
 }
 
+// finished returns the number of tasks that ended successfully.
 func finished(c *testCell) int {
 	n := 0
 	for _, r := range c.fleet.Runs() {
@@ -201,7 +205,8 @@
 	return n
 }
 
-// peak returns the most tasks that ran at once at or after an instant.
+// peak returns the maximum number of tasks that ran at the same time, measured at the
+// starts of tasks at or after fromMs.
 func peak(c *testCell, fromMs int64) int {
 	runs := c.fleet.Runs()
 	most := 0
@@ -217,8 +222,8 @@
 	return most
 }
 
-// TestParkedTask loses the worker of a task that may run only once. The task
-// is parked, not run again, until an operator decides.
+// TestParkedTask stops the worker of a task that is not idempotent. The task must be
+// parked and not run again until an operator settles it.
 func TestParkedTask(t *testing.T) {
 	c := startTestCell(t, testCellConfig{hosts: 2, workers: 4})
 	c.team("lab", 8000)
@@ -235,8 +240,9 @@
 	assert.Equal(t, fault.From(err).Code, fault.Conflict)
 }
 
-// TestLostWorkerReruns loses the worker of an idempotent task, which runs again
-// elsewhere only after the lease has run out.
+// TestLostWorkerReruns pauses the worker of an idempotent task. The task may run on
+// another worker only after the lease of the first has expired, so the two runs must
+// not overlap.
 func TestLostWorkerReruns(t *testing.T) {
 	c := startTestCell(t, testCellConfig{hosts: 2, workers: 4})
 	c.team("lab", 8000)
@@ -251,12 +257,12 @@
 	if len(runs) == 2 {
 		assert.Assert(t, runs[0].EndMs > 0 && runs[1].EndMs > 0)
 		a, b := runs[0], runs[1]
-		assert.Assert(t, a.EndMs <= b.StartMs || b.EndMs <= a.StartMs, "the task ran in two places")
+		assert.Assert(t, a.EndMs <= b.StartMs || b.EndMs <= a.StartMs, "the task ran on two workers at the same time")
 	}
 }
 
-// TestFreshness goes through the table of docs/design/0004-freshness.md: when
-// a host may act on its configuration.
+// TestFreshness checks the cases of docs/design/0004-freshness.md, which define when a
+// host's configuration counts as fresh.
 func TestFreshness(t *testing.T) {
 	c := startTestCell(t, testCellConfig{hosts: 3, workers: 3, timing: "freshFor = 300ms\nsuspectAfter = 900ms\ngossip = 50ms"})
 	fresh := func(i int) bool { return c.hosts[i].cell.Fresh() == nil }
@@ -266,56 +272,58 @@
 		for range 20 {
 			time.Sleep(20 * time.Millisecond)
 			if !ok() {
-				t.Errorf("no longer so: %s", what)
+				t.Errorf("condition did not hold: %s", what)
 				return
 			}
 		}
 	}
-	steady("all read the log: all are fresh", func() bool { return fresh(0) && fresh(1) && fresh(2) })
+	steady("all hosts read the log: all are fresh", func() bool { return fresh(0) && fresh(1) && fresh(2) })
 
 	knowEachOther(c)
 	c.log.Set(fakes.LogSwitch{Outage: true})
-	until(t, "the configuration ages", func() bool {
+	until(t, "the configuration is older than freshFor", func() bool {
 		age, _ := c.hosts[0].cell.Age()
 		return age > time.Second
 	})
-	steady("the log is down for all, and all hear each other: all are fresh", func() bool { return fresh(0) && fresh(1) && fresh(2) })
+	steady("the log is down and all hosts are connected to each other: all are fresh", func() bool { return fresh(0) && fresh(1) && fresh(2) })
 
 	c.hosts[2].Kill()
-	until(t, "a host is silent while the log is down: the others are not fresh", func() bool { return !fresh(0) && !fresh(1) })
+	until(t, "a host is dead while the log is down: the others are not fresh", func() bool { return !fresh(0) && !fresh(1) })
 	c.log.Set(fakes.LogSwitch{})
-	steady("the log is back: the others are fresh", func() bool { return fresh(0) && fresh(1) })
+	steady("the log is available again: the others are fresh", func() bool { return fresh(0) && fresh(1) })
 }
 
-// TestCutOffHost cuts one host off from its peers and the log. It refuses
-// requests with keys, while the others go on.
+// TestCutOffHost disconnects one host from its peers and from the log. The host must
+// reject requests, because it may miss the withdrawal of a key, while the other hosts
+// keep working. Once it reaches its peers again, it must receive the withdrawal from
+// them without the log.
 func TestCutOffHost(t *testing.T) {
 	c := startTestCell(t, testCellConfig{hosts: 3, workers: 6, timing: "freshFor = 300ms\nsuspectAfter = 900ms\ngossip = 50ms"})
 	c.team("lab", 8000)
 	knowEachOther(c)
 	cut(c, 0, true)
 	c.gates[0].cut.Store(true)
-	until(t, "the cut-off host is not ready", func() bool { return c.hosts[0].Ready() != nil })
+	until(t, "the disconnected host is not ready", func() bool { return c.hosts[0].Ready() != nil })
 	_, err := send[jobs.Job](c.hosts[0], "lab.secret", http.MethodPost, "/jobs", testSpec("survey", 10))
 	assert.Equal(t, fault.From(err).Code, fault.Unavailable)
 	assert.Equal(t, fault.RanOf(err), fault.NotRun)
 	c.edit(c.hosts[1], config.Edit{ID: "out", Kind: config.WithdrawKey, Name: "lab"})
-	until(t, "the withdrawn key is refused", func() bool {
+	until(t, "the withdrawn key is rejected", func() bool {
 		_, err := send[jobs.Job](c.hosts[2], "lab.secret", http.MethodPost, "/jobs", testSpec("survey", 10))
 		return fault.Is(err, fault.Denied)
 	})
 	cut(c, 0, false)
-	until(t, "its peers bring the host up to date without the log", func() bool {
+	until(t, "the host receives the configuration from its peers without the log", func() bool {
 		_, err := c.hosts[0].cell.State().TeamOfKey("lab.secret")
 		return fault.Is(err, fault.Denied) && c.hosts[0].Ready() == nil
 	})
 	assert.Equal(t, len(c.fleet.Runs()), 0)
 }
 
-// knowEachOther waits until every host has heard of every other.
+// knowEachOther waits until every host has all hosts in its membership table.
 func knowEachOther(c *testCell) {
 	c.t.Helper()
-	until(c.t, "every host knows every other", func() bool {
+	until(c.t, "every host lists all hosts as live", func() bool {
 		for _, h := range c.hosts {
 			if len(h.table.Live(time.Now())) != len(c.hosts) {
 				return false
@@ -325,14 +333,17 @@
 	})
 }
 
-// TestLonelyHost cuts a host off before it has heard of any other. It does not
-// take the silence for an outage of the log.
+// TestLonelyHost disconnects a host from the log before any other host is in its
+// membership table. The host must not treat this as an outage of the log for all
+// hosts, in which it would remain ready.
 func TestLonelyHost(t *testing.T) {
 	c := startTestCell(t, testCellConfig{hosts: 1, workers: 2, timing: "freshFor = 300ms"})
 	c.gates[0].cut.Store(true)
-	until(t, "the lonely host is not ready", func() bool { return c.hosts[0].Ready() != nil })
+	until(t, "the isolated host is not ready", func() bool { return c.hosts[0].Ready() != nil })
 }
 
+// cut disconnects host i from all other hosts if on is true, and reconnects it
+// otherwise.
 func cut(c *testCell, i int, on bool) {
 	for j, h := range c.hosts {
 		if j != i {
@@ -342,8 +353,8 @@
 	}
 }
 
-// TestStopFinishesCalls stops a host gracefully while calls are under way. All
-// of them are answered.
+// TestStopFinishesCalls stops a host gracefully while calls are in flight. All of the
+// calls must succeed.
 func TestStopFinishesCalls(t *testing.T) {
 	c := startTestCell(t, testCellConfig{hosts: 2, workers: 2})
 	c.team("lab", 4000)
--- a/internal/node/entry/gate_test.go
+++ b/internal/node/entry/gate_test.go
@@ -8,7 +8,7 @@
 	"lagooncourse/internal/plat/stream"
 )
 
-// gatedLog is a log that can be cut off.
+// gatedLog is a log client that can be disconnected from the log.
 type gatedLog struct {
 	stream.Log
 	cut atomic.Bool
@@ -16,14 +16,14 @@
 
 func (g *gatedLog) Append(ctx context.Context, name string, data []byte) (int64, error) {
 	if g.cut.Load() {
-		return 0, fault.New(fault.Unavailable, fault.NotRun, "the log is cut off")
+		return 0, fault.New(fault.Unavailable, fault.NotRun, "the log is disconnected")
 	}
 	return g.Log.Append(ctx, name, data)
 }
 
 func (g *gatedLog) Read(ctx context.Context, req stream.ReadRequest) (stream.Page, error) {
 	if g.cut.Load() {
-		return stream.Page{}, fault.New(fault.Unavailable, fault.NotRun, "the log is cut off")
+		return stream.Page{}, fault.New(fault.Unavailable, fault.NotRun, "the log is disconnected")
 	}
 	return g.Log.Read(ctx, req)
 }
