--- a/internal/node/entry/admin.go
+++ b/internal/node/entry/admin.go
@@ -19,10 +19,10 @@
 // postEdit applies an operator's edit. If another edit of the same base version was
 // applied first, the error is a conflict that names its author.
 func (h *Host) postEdit(r *http.Request) (res config.Result, err error) {
-	if err := h.operator(r); err != nil {
+	if err := h.checkOperator(r); err != nil {
 		return res, err
 	}
-	e, err := httpd.ReadJSON[config.Edit](r, h.set.API.MaxBody)
+	e, err := httpd.ReadJSON[config.Edit](r, h.settings.API.MaxBody)
 	if err != nil {
 		return res, err
 	}
@@ -32,9 +32,9 @@
 	if err := e.Check(); err != nil {
 		return res, err
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), h.set.API.CallTimeout)
+	ctx, cancel := context.WithTimeout(r.Context(), h.settings.API.CallTimeout)
 	defer cancel()
-	res, err = h.cell.Edit(ctx, e)
+	res, err = h.follower.Edit(ctx, e)
 	if err == nil && !res.Accepted {
 		return res, &fault.Error{
 			Code: fault.Conflict, Ran: fault.NotRun, Field: "base", Value: strconv.FormatInt(int64(e.Base), 10),
@@ -57,11 +57,11 @@
 
 // getConfig returns the configuration to an operator.
 func (h *Host) getConfig(r *http.Request) (a ConfigAnswer, err error) {
-	if err := h.operator(r); err != nil {
+	if err := h.checkOperator(r); err != nil {
 		return a, err
 	}
-	s := h.cell.State()
-	age, _ := h.cell.Age()
+	s := h.follower.State()
+	age, _ := h.follower.Age()
 	return ConfigAnswer{
 		Offset: s.Offset, AgeMs: age.Milliseconds(), Plans: s.Plans, Allows: s.Allows, Keys: s.Keys, Azs: s.Azs,
 	}, nil
@@ -75,10 +75,10 @@
 
 // postSettle applies an operator's decision on a parked task.
 func (h *Host) postSettle(r *http.Request) (a JobAnswer, err error) {
-	if err := h.operator(r); err != nil {
+	if err := h.checkOperator(r); err != nil {
 		return a, err
 	}
-	req, err := httpd.ReadJSON[SettleRequest](r, h.set.API.MaxBody)
+	req, err := httpd.ReadJSON[SettleRequest](r, h.settings.API.MaxBody)
 	if err != nil {
 		return a, err
 	}
@@ -92,7 +92,7 @@
 	if req.Action != jobs.SettleDone && req.Action != jobs.SettleFailed && req.Action != jobs.SettleRerun {
 		return a, fault.Field("action", req.Action, "must be one of %v", jobs.Actions)
 	}
-	j, err := toOwner(r.Context(), h, groupOfJob(ref.Job), wire.Settle,
+	j, err := callOwner(r.Context(), h, groupOfJob(ref.Job), wire.Settle,
 		wire.SettleMsg{Ref: ref, Action: req.Action}, (*owner.Group).Settle)
 	return JobAnswer{Job: j, State: j.State()}, err
 }
--- a/internal/node/entry/api.go
+++ b/internal/node/entry/api.go
@@ -29,36 +29,36 @@
 
 // Limits of requests.
 const (
-	maxWait     = time.Minute // wait for the end of a job
-	maxListJobs = 1000        // jobs listed per group
-	maxTimeout  = 10 * time.Minute
+	maxStatusWait  = time.Minute // wait for the end of a job
+	maxListJobs    = 1000        // jobs listed per group
+	maxCallTimeout = 10 * time.Minute
 )
 
 // routes returns the routes of the HTTP API, which docs/API.md documents.
 func (h *Host) routes() []rest.Route {
 	route := func(method, path string, fn http.HandlerFunc) rest.Route {
-		return rest.Route{Method: method, Path: path, Handler: h.metrics.count(path, fn)}
+		return rest.Route{Method: method, Path: path, Handler: h.metrics.countRequests(path, fn)}
 	}
 	metrics := promhttp.HandlerFor(h.metrics.registry, promhttp.HandlerOpts{})
 	return []rest.Route{
-		route(http.MethodPost, "/jobs", answer(h.postJob)),
-		route(http.MethodGet, "/jobs", answer(h.getJobs)),
-		route(http.MethodGet, "/jobs/:id", answer(h.getJob)),
-		route(http.MethodPost, "/jobs/:id/cancel", answer(h.postCancel)),
+		route(http.MethodPost, "/jobs", jsonHandler(h.postJob)),
+		route(http.MethodGet, "/jobs", jsonHandler(h.getJobs)),
+		route(http.MethodGet, "/jobs/:id", jsonHandler(h.getJob)),
+		route(http.MethodPost, "/jobs/:id/cancel", jsonHandler(h.postCancel)),
 		route(http.MethodPost, "/call/:service", h.postCall),
-		route(http.MethodGet, "/config", answer(h.getConfig)),
-		route(http.MethodPost, "/edits", answer(h.postEdit)),
-		route(http.MethodPost, "/settle", answer(h.postSettle)),
-		route(http.MethodGet, "/dump", answer(h.getDump)),
+		route(http.MethodGet, "/config", jsonHandler(h.getConfig)),
+		route(http.MethodPost, "/edits", jsonHandler(h.postEdit)),
+		route(http.MethodPost, "/settle", jsonHandler(h.postSettle)),
+		route(http.MethodGet, "/dump", jsonHandler(h.getDump)),
 		route(http.MethodGet, "/healthz", h.getHealth),
 		route(http.MethodGet, "/readyz", h.getReady),
 		route(http.MethodGet, "/metrics", metrics.ServeHTTP),
 	}
 }
 
-// answer returns a handler that writes the result of fn as JSON, or its error as a
-// problem document.
-func answer[T any](fn func(*http.Request) (T, error)) http.HandlerFunc {
+// jsonHandler returns a handler that writes the result of fn as JSON, or its error
+// as a problem document.
+func jsonHandler[T any](fn func(*http.Request) (T, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		v, err := fn(r)
 		if err != nil {
@@ -69,40 +69,40 @@
 	}
 }
 
-// bearer returns the key in the request's Authorization header, or "".
-func bearer(r *http.Request) string {
+// bearerToken returns the key in the request's Authorization header, or "".
+func bearerToken(r *http.Request) string {
 	key, _ := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	return strings.TrimSpace(key)
 }
 
-// team returns the team of the request's key, or config.OpenTeam if the request has
-// no key.
-func (h *Host) team(r *http.Request) (string, error) {
-	if err := h.cell.Fresh(); err != nil {
+// requestTeam returns the team of the request's key, or config.OpenTeam if the
+// request has no key.
+func (h *Host) requestTeam(r *http.Request) (string, error) {
+	if err := h.follower.Fresh(); err != nil {
 		return "", err
 	}
-	key := bearer(r)
+	key := bearerToken(r)
 	if key == "" {
 		return config.OpenTeam, nil
 	}
-	return h.cell.State().TeamOfKey(key)
+	return h.follower.State().TeamOfKey(key)
 }
 
-// allowed returns an error unless the team may use the named queue, service or
+// checkAllowed returns an error unless the team may use the named queue, service or
 // availability zone. If the request had no key, the error is NoKey.
-func (h *Host) allowed(team, kind, name string) error {
-	err := h.cell.State().Allowed(team, kind, name)
+func (h *Host) checkAllowed(team, kind, name string) error {
+	err := h.follower.State().Allowed(team, kind, name)
 	if err != nil && team == config.OpenTeam {
 		return fault.New(fault.NoKey, fault.NotRun, "%s %q requires a key", kind, name)
 	}
 	return err
 }
 
-// operator returns an error unless the request comes from an operator: it has the
-// operators' key or, if none is set, comes from the loopback address.
-func (h *Host) operator(r *http.Request) error {
-	if hash := h.set.API.OperatorKey; hash != "" {
-		if config.HashSecret(bearer(r)) == hash {
+// checkOperator returns an error unless the request comes from an operator: it
+// has the operators' key or, if none is set, comes from the loopback address.
+func (h *Host) checkOperator(r *http.Request) error {
+	if hash := h.settings.API.OperatorKey; hash != "" {
+		if config.HashSecret(bearerToken(r)) == hash {
 			return nil
 		}
 		return fault.New(fault.NoKey, fault.NotRun, "the request requires the operators' key")
@@ -132,15 +132,15 @@
 // Ready returns an error unless the host can serve requests.
 func (h *Host) Ready() error {
 	h.mu.Lock()
-	leaving, listed := h.leaving, len(h.list.Workers)+len(h.list.Targets) > 0
+	leaving, hasHostList := h.leaving, len(h.hostList.Workers)+len(h.hostList.Targets) > 0
 	h.mu.Unlock()
 	switch {
 	case leaving:
-		return fault.New(fault.Unavailable, fault.NotRun, "host %q is stopping", h.set.Host.ID)
-	case !listed:
-		return fault.New(fault.Unavailable, fault.NotRun, "host %q has not read the host list yet", h.set.Host.ID)
+		return fault.New(fault.Unavailable, fault.NotRun, "host %q is stopping", h.settings.Host.ID)
+	case !hasHostList:
+		return fault.New(fault.Unavailable, fault.NotRun, "host %q has not read the host list yet", h.settings.Host.ID)
 	}
-	return h.cell.Fresh()
+	return h.follower.Fresh()
 }
 
 // Dump is a snapshot of an entry host's state for operators.
@@ -161,11 +161,11 @@
 
 // Dump returns a snapshot of the host's state.
 func (h *Host) Dump() Dump {
-	age, next := h.cell.Age()
+	age, next := h.follower.Age()
 	now := h.clock.Now()
 	d := Dump{
-		Host: h.set.Host.ID, Az: h.set.Host.Az, UptimeMs: now.Sub(h.started).Milliseconds(), Ready: "yes",
-		CellNext: next, CellAge: age.Milliseconds(), Live: h.table.Live(now), Pools: h.ownPools(),
+		Host: h.settings.Host.ID, Az: h.settings.Host.Az, UptimeMs: now.Sub(h.started).Milliseconds(), Ready: "yes",
+		CellNext: next, CellAge: age.Milliseconds(), Live: h.table.Live(now), Pools: h.servedPools(),
 		Router: h.router.Stats(), Groups: []owner.Dump{}, Traffic: h.traffic(),
 	}
 	if err := h.Ready(); err != nil {
@@ -174,8 +174,8 @@
 	h.mu.Lock()
 	d.Leaving = h.leaving
 	h.mu.Unlock()
-	for _, og := range h.ownGroups() {
-		d.Groups = append(d.Groups, og.g.Dump())
+	for _, lg := range h.localGroups() {
+		d.Groups = append(d.Groups, lg.g.Dump())
 	}
 	return d
 }
@@ -188,9 +188,9 @@
 
 // traffic sums the bytes of the server and client sides of the peer protocol.
 func (h *Host) traffic() (t Traffic) {
-	for _, side := range []*frame.Traffic{h.frames.Traffic(), h.pool.Traffic()} {
+	for _, side := range []*frame.Traffic{h.peerServer.Traffic(), h.peerConns.Traffic()} {
 		for method, b := range side.ByMethod() {
-			if method == wire.Gossip.ID || method == wire.Cell.ID {
+			if method == wire.Gossip.ID || method == wire.ReadConfig.ID {
 				t.Control = t.Control.Plus(b)
 			} else {
 				t.Work = t.Work.Plus(b)
@@ -201,7 +201,7 @@
 }
 
 func (h *Host) getDump(r *http.Request) (Dump, error) {
-	if err := h.operator(r); err != nil {
+	if err := h.checkOperator(r); err != nil {
 		return Dump{}, err
 	}
 	return h.Dump(), nil
--- a/internal/node/entry/bench_test.go
+++ b/internal/node/entry/bench_test.go
@@ -22,8 +22,8 @@
 // with a log that is limited to 300 appends per second. It reports the rate and the
 // latency of the accepted submissions.
 func BenchmarkSubmit(b *testing.B) {
-	c := startTestCell(b, testCellConfig{hosts: 3, workers: 50, appends: 300})
-	c.team("lab", 1_000_000)
+	c := startTestCell(b, testCellConfig{hosts: 3, workers: 50, appendsPerSecond: 300})
+	c.createTeam("lab", 1_000_000)
 	until(b, "every group has an owner", func() bool {
 		return len((&remote{h: c.hosts[0]}).Duties()) == len(testAzs)
 	})
@@ -73,12 +73,12 @@
 			return len((&remote{h: c.hosts[0]}).Duties()) == len(testAzs)
 		})
 		victim := c.hosts[2]
-		names := victim.epochs()
+		names := victim.ownedEpochs()
 		start := time.Now()
 		victim.Kill()
 		until(b, "other hosts own its groups", func() bool {
 			for name := range names {
-				if c.hosts[0].owned(name) == nil && c.hosts[1].owned(name) == nil {
+				if c.hosts[0].ownedGroup(name) == nil && c.hosts[1].ownedGroup(name) == nil {
 					return false
 				}
 			}
@@ -97,12 +97,12 @@
 	for _, idempotent := range []bool{true, false} {
 		b.Run(fmt.Sprintf("idempotent=%t", idempotent), func(b *testing.B) {
 			c := startTestCell(b, testCellConfig{hosts: 3, workers: 6})
-			c.team("lab", 8000)
-			knowEachOther(c)
+			c.createTeam("lab", 8000)
+			waitForMembership(c)
 			for b.Loop() {
-				before := answered(c, idempotent, "before")
+				before := successfulCalls(c, idempotent, "before")
 				c.log.Set(fakes.LogSwitch{Outage: true})
-				during := answered(c, idempotent, "during")
+				during := successfulCalls(c, idempotent, "during")
 				c.log.Set(fakes.LogSwitch{})
 				b.ReportMetric(float64(before), "before")
 				b.ReportMetric(float64(during), "during")
@@ -111,9 +111,9 @@
 	}
 }
 
-// answered sends 100 calls per second for 5 s and returns the number of successful
-// ones.
-func answered(c *testCell, idempotent bool, salt string) int64 {
+// successfulCalls sends 100 calls per second for 5 s and returns the number of
+// successful ones.
+func successfulCalls(c *testCell, idempotent bool, idPrefix string) int64 {
 	const calls = 500
 	var done atomic.Int64
 	var wg sync.WaitGroup
@@ -125,7 +125,7 @@
 			defer wg.Done()
 			r, _ := http.NewRequest(http.MethodPost, c.hosts[i%3].API()+"/call/triage", strings.NewReader("x"))
 			r.Header.Set("Authorization", "Bearer lab.secret")
-			r.Header.Set(HeaderCallID, fmt.Sprintf("%s-%t-%d-%d", salt, idempotent, start.UnixNano(), i))
+			r.Header.Set(HeaderCallID, fmt.Sprintf("%s-%t-%d-%d", idPrefix, idempotent, start.UnixNano(), i))
 			r.Header.Set(HeaderIdempotent, strconv.FormatBool(idempotent))
 			r.Header.Set(HeaderTimeout, "1000")
 			resp, err := http.DefaultClient.Do(r)
--- a/internal/node/entry/calls.go
+++ b/internal/node/entry/calls.go
@@ -19,15 +19,15 @@
 
 // postCall forwards a call to a target and returns the complete response.
 func (h *Host) postCall(w http.ResponseWriter, r *http.Request) {
-	msg, timeout, err := h.callOf(r)
+	msg, timeout, err := h.parseCall(r)
 	if err != nil {
 		httpd.WriteError(w, err)
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), timeout)
 	defer cancel()
-	a, err := h.call(ctx, msg)
-	h.metrics.called(msg.Service, fault.RanOf(err))
+	a, err := h.routeCall(ctx, msg)
+	h.metrics.countCall(msg.Service, fault.RanOf(err))
 	if err != nil {
 		httpd.WriteError(w, err)
 		return
@@ -40,14 +40,14 @@
 	_, _ = w.Write(a.Body)
 }
 
-// callOf parses and validates the headers and body of a call.
-func (h *Host) callOf(r *http.Request) (msg wire.CallMsg, timeout time.Duration, err error) {
-	team, err := h.team(r)
+// parseCall parses and validates the headers and body of a call.
+func (h *Host) parseCall(r *http.Request) (msg wire.CallMsg, timeout time.Duration, err error) {
+	team, err := h.requestTeam(r)
 	if err != nil {
 		return msg, 0, err
 	}
 	msg = wire.CallMsg{Service: pathvar.Vars(r)["service"], Team: team, ID: r.Header.Get(HeaderCallID)}
-	if err := h.allowed(team, "service", msg.Service); err != nil {
+	if err := h.checkAllowed(team, "service", msg.Service); err != nil {
 		return msg, 0, err
 	}
 	if msg.ID == "" {
@@ -62,38 +62,38 @@
 	default:
 		return msg, 0, fault.Field(HeaderIdempotent, v, `must be "true" or "false"`)
 	}
-	if timeout, err = h.timeoutOf(r); err != nil {
+	if timeout, err = h.callTimeout(r); err != nil {
 		return msg, 0, err
 	}
-	msg.Body, err = httpd.ReadBody(r, h.set.API.MaxBody)
+	msg.Body, err = httpd.ReadBody(r, h.settings.API.MaxBody)
 	return msg, timeout, err
 }
 
-// timeoutOf returns the timeout of a call from its header, or the default.
-func (h *Host) timeoutOf(r *http.Request) (time.Duration, error) {
+// callTimeout returns the timeout of a call from its header, or the default.
+func (h *Host) callTimeout(r *http.Request) (time.Duration, error) {
 	text := r.Header.Get(HeaderTimeout)
 	if text == "" {
-		return h.set.API.CallTimeout, nil
+		return h.settings.API.CallTimeout, nil
 	}
 	ms, err := strconv.ParseInt(text, 10, 64)
-	if err != nil || ms < 1 || ms > maxTimeout.Milliseconds() {
-		return 0, fault.Field(HeaderTimeout, text, "must lie between 1 and %d", maxTimeout.Milliseconds())
+	if err != nil || ms < 1 || ms > maxCallTimeout.Milliseconds() {
+		return 0, fault.Field(HeaderTimeout, text, "must lie between 1 and %d", maxCallTimeout.Milliseconds())
 	}
 	return time.Duration(ms) * time.Millisecond, nil
 }
 
-// call routes an idempotent call directly to a pool. Any other call goes through the
-// owner of its group, which records the call in the log before sending it.
-func (h *Host) call(ctx context.Context, msg wire.CallMsg) (wire.CallAnswer, error) {
+// routeCall routes an idempotent call directly to a pool. Any other call goes through
+// the owner of its group, which records the call in the log before sending it.
+func (h *Host) routeCall(ctx context.Context, msg wire.CallMsg) (wire.CallAnswer, error) {
 	if msg.Idempotent {
 		return h.router.Call(ctx, msg)
 	}
-	name := homeOf(h.groupNames(), msg.Team, msg.ID)
+	name := homeGroup(h.groupNames(), msg.Team, msg.ID)
 	if name == "" {
 		return wire.CallAnswer{}, fault.New(fault.Unavailable, fault.NotRun, "this host has not read the host list yet").WithRetryAfter(1)
 	}
 	msg.Group = name
-	return withOwner(ctx, func(ctx context.Context) (wire.CallAnswer, error) {
-		return toOwner(ctx, h, name, wire.Once, msg, h.onceAt)
+	return retryUntilOwner(ctx, func(ctx context.Context) (wire.CallAnswer, error) {
+		return callOwner(ctx, h, name, wire.Once, msg, h.onceLocal)
 	})
 }
--- a/internal/node/entry/cell.go
+++ b/internal/node/entry/cell.go
@@ -17,7 +17,7 @@
 	"lagooncourse/internal/plat/stream"
 )
 
-// follower keeps the configuration up to date. It reads the configuration stream
+// configFollower keeps the configuration up to date. It reads the configuration stream
 // from the log and, while the log does not answer, from peers.
 //
 // The configuration is fresh if it was complete within the last FreshFor. A host
@@ -27,83 +27,83 @@
 // is alive, there is at least one such host or the cell has no other, and none of
 // them has read the end of the log within FreshFor. The table of cases is in
 // docs/design/0004-freshness.md.
-type follower struct {
-	log      stream.Log
-	table    *peers.Table
-	pool     *frame.Pool
-	clock    clock.Clock
-	logger   logr.Logger
-	freshFor time.Duration
-	alone    bool // the settings name no other entry host
-	machine  *config.Machine
+type configFollower struct {
+	log       stream.Log
+	table     *peers.Table
+	peerConns *frame.Pool
+	clock     clock.Clock
+	logger    logr.Logger
+	freshFor  time.Duration
+	soleHost  bool // the settings name no other entry host
+	machine   *config.Machine
 
-	mu      sync.Mutex
-	replay  *stream.Replay
-	headAt  time.Time     // when the state was last known to be complete
-	readAt  time.Time     // when the end of the stream was last read from the log
-	recent  [][]byte      // newest records, served to peers
-	changed chan struct{} // closed and replaced when records are applied
+	mu            sync.Mutex
+	replay        *stream.Replay
+	completeAt    time.Time     // when the state was last known to be complete
+	logReadAt     time.Time     // when the end of the stream was last read from the log
+	recentRecords [][]byte      // newest records, served to peers
+	changed       chan struct{} // closed and replaced when records are applied
 }
 
-var _ owner.Cell = (*follower)(nil)
+var _ owner.Cell = (*configFollower)(nil)
 
 // Timeouts, retry delays and limits of the follower.
 const (
-	maxFollowWait = time.Second // maximum wait of a read for a new record
-	followRetry   = 200 * time.Millisecond
-	peerTimeout   = time.Second
-	maxRecent     = 4096                  // records kept for peers
-	changeRetry   = 50 * time.Millisecond // first delay between two appends of a record; doubles
-	maxChangeWait = time.Second           // maximum delay between two appends of a record
+	maxReadWait       = time.Second // maximum wait of a read for a new record
+	readRetryInterval = 200 * time.Millisecond
+	peerTimeout       = time.Second
+	maxRecentRecords  = 4096                  // records kept for peers
+	minAppendBackoff  = 50 * time.Millisecond // first delay between two appends of a record; doubles
+	maxAppendBackoff  = time.Second           // maximum delay between two appends of a record
 )
 
 // run follows the stream until ctx ends.
-func (f *follower) run(ctx context.Context) {
+func (f *configFollower) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		if f.step(ctx) == nil {
+		if f.readPage(ctx) == nil {
 			continue
 		}
-		f.askPeer(ctx)
+		f.readFromPeer(ctx)
 		select {
-		case <-time.After(followRetry):
+		case <-time.After(readRetryInterval):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// followWait returns how long a read may wait for a new record. It is well below
+// readWait returns how long a read may wait for a new record. It is well below
 // freshFor, because otherwise the configuration would count as stale while the stream
 // is idle.
-func (f *follower) followWait() time.Duration { return min(maxFollowWait, f.freshFor/4) }
+func (f *configFollower) readWait() time.Duration { return min(maxReadWait, f.freshFor/4) }
 
-// step reads and applies one page. If the page reaches the end of the stream, the
-// state is complete as of the time at which the request was sent, because the
+// readPage reads and applies one page. If the page reaches the end of the stream,
+// the state is complete as of the time at which the request was sent, because the
 // response contains all records that the log had at that time.
-func (f *follower) step(ctx context.Context) error {
+func (f *configFollower) readPage(ctx context.Context) error {
 	f.mu.Lock()
 	from, sent := f.replay.Next(), f.clock.Now()
 	f.mu.Unlock()
-	p, err := f.log.Read(ctx, stream.ReadRequest{Stream: config.Stream, From: from, Wait: f.followWait()})
+	p, err := f.log.Read(ctx, stream.ReadRequest{Stream: config.Stream, From: from, Wait: f.readWait()})
 	if err != nil {
 		return err
 	}
-	if f.take(p, sent) {
+	if f.applyPage(p, sent) {
 		f.mu.Lock()
-		f.readAt = sent
+		f.logReadAt = sent
 		f.mu.Unlock()
 	}
 	return nil
 }
 
-// take applies a page that was read at the time asOf. It reports whether the state is
-// complete, which means that it includes all records up to the end of the stream.
-func (f *follower) take(p stream.Page, asOf time.Time) (complete bool) {
+// applyPage applies a page that was read at the time asOf. It reports whether the
+// state is complete, which means that it includes all records up to the end of the stream.
+func (f *configFollower) applyPage(p stream.Page, asOf time.Time) (complete bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	before := f.replay.Next()
 	complete = f.replay.Take(p) && f.replay.Ready()
-	if complete && asOf.After(f.headAt) {
-		f.headAt = asOf
+	if complete && asOf.After(f.completeAt) {
+		f.completeAt = asOf
 	}
 	f.keepRecent(p, before)
 	if f.replay.Next() != before {
@@ -115,24 +115,24 @@
 
 // keepRecent keeps the page's records from offset before on for peers. The caller
 // must hold f.mu.
-func (f *follower) keepRecent(p stream.Page, before int64) {
+func (f *configFollower) keepRecent(p stream.Page, before int64) {
 	if p.First > before {
-		f.recent = nil
+		f.recentRecords = nil
 	}
 	for _, rec := range p.Records {
 		if rec.Offset >= before {
-			f.recent = append(f.recent, rec.Data)
+			f.recentRecords = append(f.recentRecords, rec.Data)
 		}
 	}
-	if n := len(f.recent) - maxRecent; n > 0 {
-		f.recent = append([][]byte(nil), f.recent[n:]...)
+	if n := len(f.recentRecords) - maxRecentRecords; n > 0 {
+		f.recentRecords = append([][]byte(nil), f.recentRecords[n:]...)
 	}
 }
 
-// askPeer reads the records that this host lacks from a random live peer.
-func (f *follower) askPeer(ctx context.Context) {
+// readFromPeer reads the records that this host lacks from a random live peer.
+func (f *configFollower) readFromPeer(ctx context.Context) {
 	now := f.clock.Now()
-	addrs := f.table.Pick(1, newRand(), now)
+	addrs := f.table.PickLive(1, newRand(), now)
 	if len(addrs) == 0 {
 		return
 	}
@@ -141,7 +141,7 @@
 	f.mu.Lock()
 	from := f.replay.Next()
 	f.mu.Unlock()
-	a, err := frame.Call(ctx, f.pool, addrs[0], wire.Cell, wire.CellMsg{From: from})
+	a, err := frame.Call(ctx, f.peerConns, addrs[0], wire.ReadConfig, wire.ReadConfigMsg{From: from})
 	if err != nil || a.Next < from || a.First != from {
 		return
 	}
@@ -149,33 +149,33 @@
 	for i, data := range a.Data {
 		page.Records = append(page.Records, stream.Record{Offset: a.First + int64(i), Data: data})
 	}
-	f.take(page, now.Add(-time.Duration(a.AgeMs)*time.Millisecond))
+	f.applyPage(page, now.Add(-time.Duration(a.AgeMs)*time.Millisecond))
 }
 
-// serve answers a peer's request for records. It fails if the state is not ready or
-// the request starts before the oldest record in f.recent.
-func (f *follower) serve(_ context.Context, msg wire.CellMsg) (a wire.CellAnswer, err error) {
+// serveRecords answers a peer's request for records. It fails if the state is not
+// ready or the request starts before the oldest record in f.recentRecords.
+func (f *configFollower) serveRecords(_ context.Context, msg wire.ReadConfigMsg) (a wire.ReadConfigAnswer, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	next := f.replay.Next()
-	oldest := next - int64(len(f.recent))
+	oldest := next - int64(len(f.recentRecords))
 	if !f.replay.Ready() || msg.From < oldest {
 		return a, fault.New(fault.NotFound, fault.NotRun, "records before offset %d are not available", oldest)
 	}
-	a = wire.CellAnswer{First: msg.From, Next: next, AgeMs: f.age().Milliseconds()}
+	a = wire.ReadConfigAnswer{First: msg.From, Next: next, AgeMs: f.age().Milliseconds()}
 	if msg.From < next {
-		a.Data = f.recent[msg.From-oldest:]
+		a.Data = f.recentRecords[msg.From-oldest:]
 	}
 	return a, nil
 }
 
 // age returns the time since the state was last known to be complete. The caller
 // must hold f.mu.
-func (f *follower) age() time.Duration { return f.clock.Now().Sub(f.headAt) }
+func (f *configFollower) age() time.Duration { return f.clock.Now().Sub(f.completeAt) }
 
 // Age returns the time since the state was last known to be complete, and the next
 // offset to read.
-func (f *follower) Age() (time.Duration, int64) {
+func (f *configFollower) Age() (time.Duration, int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.age(), f.replay.Next()
@@ -183,42 +183,42 @@
 
 // LogAge returns the time since this host last read the end of the stream from the
 // log.
-func (f *follower) LogAge() time.Duration {
+func (f *configFollower) LogAge() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.clock.Now().Sub(f.readAt)
+	return f.clock.Now().Sub(f.logReadAt)
 }
 
 // State returns the newest configuration.
-func (f *follower) State() *config.State { return f.machine.State() }
+func (f *configFollower) State() *config.State { return f.machine.State() }
 
 // Fresh returns an error unless the configuration is recent enough to accept work.
-// The comment on follower has the rule.
-func (f *follower) Fresh() error {
+// The comment on configFollower has the rule.
+func (f *configFollower) Fresh() error {
 	f.mu.Lock()
 	age, ready := f.age(), f.replay.Ready()
 	f.mu.Unlock()
 	if ready && age <= f.freshFor {
 		return nil
 	}
-	silent, freshest, heard := f.table.Silence(f.clock.Now())
-	if ready && !silent && (heard > 0 || f.alone) && freshest > f.freshFor {
+	suspected, minLogAge, live := f.table.PeerSummary(f.clock.Now())
+	if ready && !suspected && (live > 0 || f.soleHost) && minLogAge > f.freshFor {
 		return nil
 	}
 	return fault.New(fault.Unavailable, fault.NotRun, "this host's configuration may be out of date").WithRetryAfter(1)
 }
 
-// CutOff reports whether this host cannot read the log while another host can. Such
-// a host may read the configuration from its peers, but cannot own a group.
-func (f *follower) CutOff() bool {
-	_, freshest, heard := f.table.Silence(f.clock.Now())
-	return f.LogAge() > f.freshFor && heard > 0 && freshest <= f.freshFor
+// LogUnreachable reports whether this host cannot read the log while another host
+// can. Such a host may read the configuration from its peers, but cannot own a group.
+func (f *configFollower) LogUnreachable() bool {
+	_, minLogAge, live := f.table.PeerSummary(f.clock.Now())
+	return f.LogAge() > f.freshFor && live > 0 && minLogAge <= f.freshFor
 }
 
 // Change appends a change of grants and waits until it, or a change with a newer
 // fence, has been applied.
-func (f *follower) Change(ctx context.Context, g config.Grants) error {
-	return f.append(ctx, config.Record{Grants: &g}, func(s *config.State) bool {
+func (f *configFollower) Change(ctx context.Context, g config.Grants) error {
+	return f.appendRecord(ctx, config.Record{Grants: &g}, func(s *config.State) bool {
 		fence := s.Fences[g.Group]
 		return fence.Epoch > g.Fence.Epoch || fence.Epoch == g.Fence.Epoch && fence.Seq >= g.Fence.Seq
 	})
@@ -226,9 +226,9 @@
 
 // Edit appends an operator's edit and returns its result. A retry with the same id
 // returns the first result.
-func (f *follower) Edit(ctx context.Context, e config.Edit) (r config.Result, err error) {
+func (f *configFollower) Edit(ctx context.Context, e config.Edit) (r config.Result, err error) {
 	defer fault.Note(&err, "edit %q", e.ID)
-	err = f.append(ctx, config.Record{Edit: &e}, func(s *config.State) bool {
+	err = f.appendRecord(ctx, config.Record{Edit: &e}, func(s *config.State) bool {
 		_, ok := s.Results[e.ID]
 		return ok
 	})
@@ -238,9 +238,9 @@
 	return f.State().Results[e.ID], nil
 }
 
-// append appends a record until done returns true for the state. The record may be
-// appended more than once; the state machine ignores the copies.
-func (f *follower) append(ctx context.Context, rec config.Record, done func(*config.State) bool) error {
+// appendRecord appends a record until done returns true for the state. The record may
+// be appended more than once; the state machine ignores the copies.
+func (f *configFollower) appendRecord(ctx context.Context, rec config.Record, done func(*config.State) bool) error {
 	data, err := frame.Encode(rec)
 	if err != nil {
 		return err
@@ -249,12 +249,12 @@
 		return err
 	}
 	sent := false
-	wait := changeRetry
+	wait := minAppendBackoff
 	for !done(f.State()) {
 		_, err := f.log.Append(ctx, config.Stream, data)
 		sent = sent || fault.RanOf(err) != fault.NotRun
 		if err == nil {
-			if f.await(ctx, done) {
+			if f.waitUntil(ctx, done) {
 				return nil
 			}
 		}
@@ -267,15 +267,15 @@
 			}
 			return fault.New(fault.Unavailable, ran, "the log has not confirmed the change")
 		}
-		wait = min(2*wait, maxChangeWait)
+		wait = min(2*wait, maxAppendBackoff)
 	}
 	return nil
 }
 
-// await waits until done returns true, for at most maxFollowWait. It reports whether
+// waitUntil waits until done returns true, for at most maxReadWait. It reports whether
 // it did.
-func (f *follower) await(ctx context.Context, done func(*config.State) bool) bool {
-	timeout := time.After(maxFollowWait)
+func (f *configFollower) waitUntil(ctx context.Context, done func(*config.State) bool) bool {
+	timeout := time.After(maxReadWait)
 	for {
 		f.mu.Lock()
 		changed := f.changed
@@ -293,8 +293,8 @@
 	}
 }
 
-// snapshot appends a snapshot of the configuration to its stream.
-func (f *follower) snapshot(ctx context.Context) error {
+// appendSnapshot appends a snapshot of the configuration to its stream.
+func (f *configFollower) appendSnapshot(ctx context.Context) error {
 	f.mu.Lock()
 	if !f.replay.Ready() {
 		f.mu.Unlock()
@@ -309,8 +309,8 @@
 	return err
 }
 
-// sinceSnapshot returns the number of records since the newest snapshot.
-func (f *follower) sinceSnapshot() int64 {
+// recordsSinceSnapshot returns the number of records since the newest snapshot.
+func (f *configFollower) recordsSinceSnapshot() int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n, _ := f.replay.SinceSnapshot()
--- a/internal/node/entry/cell_test.go
+++ b/internal/node/entry/cell_test.go
@@ -19,13 +19,13 @@
 	"lagooncourse/internal/plat/stream"
 )
 
-// pollBound is the maximum time that a test waits for a condition.
-const pollBound = 30 * time.Second
+// pollTimeout is the maximum time that a test waits for a condition.
+const pollTimeout = 30 * time.Second
 
-// until waits until ok returns true and fails the test after pollBound.
+// until waits until ok returns true and fails the test after pollTimeout.
 func until(t testing.TB, what string, ok func() bool) {
 	t.Helper()
-	polls.Until(t, pollBound, what, ok)
+	polls.Until(t, pollTimeout, what, ok)
 }
 
 // testCell is a cell whose parts run in the test process and communicate over TCP.
@@ -40,11 +40,11 @@
 
 // testCellConfig describes a testCell.
 type testCellConfig struct {
-	hosts     int
-	workers   int
-	retention time.Duration
-	appends   int
-	timing    string // additional lines of the [timing] section
+	hosts            int
+	workers          int
+	retention        time.Duration
+	appendsPerSecond int
+	timing           string // additional lines of the [timing] section
 }
 
 var testAzs = []string{"a", "b", "c"}
@@ -55,7 +55,7 @@
 	c := &testCell{t: t}
 	t.Cleanup(c.close)
 	var err error
-	c.log, err = fakes.StartLog(fakes.LogConfig{Addr: "127.0.0.1:0", AppendsPerSecond: cfg.appends, Retention: cfg.retention})
+	c.log, err = fakes.StartLog(fakes.LogConfig{Addr: "127.0.0.1:0", AppendsPerSecond: cfg.appendsPerSecond, Retention: cfg.retention})
 	assert.NilError(t, err)
 	c.fleet, err = fakes.StartFleet(fakes.FleetConfig{Addr: "127.0.0.1:0", Workers: fakes.Workers(fakes.GridConfig{
 		Azs: testAzs, Workers: cfg.workers, RackSize: 2, CPU: 8000, Mem: 16384,
@@ -130,15 +130,15 @@
 // edit applies an edit through a host and fails the test if it is rejected.
 func (c *testCell) edit(h *Host, e config.Edit) config.Result {
 	c.t.Helper()
-	e.Base = h.cell.State().VersionOf(e.Object())
+	e.Base = h.follower.State().VersionOf(e.Object())
 	r, err := send[config.Result](h, "", http.MethodPost, "/edits", e)
 	assert.NilError(c.t, err)
 	return r
 }
 
-// team creates a team with the key NAME.secret and a plan that allows all queues,
-// services and availability zones.
-func (c *testCell) team(name string, cpu int64) {
+// createTeam creates a team with the key NAME.secret and a plan that allows all
+// queues, services and availability zones.
+func (c *testCell) createTeam(name string, cpu int64) {
 	c.t.Helper()
 	h := c.hosts[len(c.hosts)-1]
 	c.edit(h, config.Edit{ID: name + "-1", Kind: config.SetPlan, Name: name, Share: 1, Limit: jobs.Size{CPU: cpu, Mem: jobs.Unlimited}})
@@ -149,7 +149,7 @@
 			if h.Ready() != nil {
 				continue
 			}
-			if _, err := h.cell.State().TeamOfKey(name + ".secret"); err != nil {
+			if _, err := h.follower.State().TeamOfKey(name + ".secret"); err != nil {
 				return false
 			}
 		}
@@ -163,7 +163,7 @@
 	if key != "" {
 		header.Set("Authorization", "Bearer "+key)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), pollBound)
+	ctx, cancel := context.WithTimeout(context.Background(), pollTimeout)
 	defer cancel()
 	return httpd.ExchangeHeader[Resp](ctx, method, h.API()+path, header, req)
 }
--- a/internal/node/entry/duty.go
+++ b/internal/node/entry/duty.go
@@ -11,33 +11,33 @@
 
 // This file decides which groups this host should own.
 
-// dutyLoop decides periodically which groups this host should own, and announces
+// ownershipLoop decides periodically which groups this host should own, and announces
 // changes of the groups that it owns.
-func (h *Host) dutyLoop(ctx context.Context) {
-	owned := map[string]uint64{}
-	tick(ctx, dutyEvery, func(ctx context.Context) {
-		if now := h.epochs(); !maps.Equal(now, owned) {
-			owned = now
+func (h *Host) ownershipLoop(ctx context.Context) {
+	announced := map[string]uint64{}
+	runEvery(ctx, ownershipInterval, func(ctx context.Context) {
+		if now := h.ownedEpochs(); !maps.Equal(now, announced) {
+			announced = now
 			h.announce(ctx)
 		}
 		now := h.clock.Now()
-		if now.Sub(h.started) < joinGrace {
+		if now.Sub(h.started) < claimDelay {
 			return
 		}
-		live := h.eligible(now)
-		cutOff := h.cell.CutOff()
-		for _, og := range h.ownGroups() {
-			og.g.Want(h.wants(og, live, cutOff, now))
+		candidates := h.eligible(now)
+		logUnreachable := h.follower.LogUnreachable()
+		for _, lg := range h.localGroups() {
+			lg.g.Want(h.shouldOwn(lg, candidates, logUnreachable, now))
 		}
 	})
 }
 
-// epochs returns the epochs of the groups that this host owns, by group name.
-func (h *Host) epochs() map[string]uint64 {
+// ownedEpochs returns the epochs of the groups that this host owns, by group name.
+func (h *Host) ownedEpochs() map[string]uint64 {
 	epochs := map[string]uint64{}
-	for _, og := range h.ownGroups() {
-		if e := og.g.Epoch(); e > 0 {
-			epochs[og.g.Name()] = e
+	for _, lg := range h.localGroups() {
+		if e := lg.g.Epoch(); e > 0 {
+			epochs[lg.g.Name()] = e
 		}
 	}
 	return epochs
@@ -47,61 +47,61 @@
 // end of the log is at most FreshFor older than that of any other live host.
 func (h *Host) eligible(now time.Time) []peers.Peer {
 	live := h.table.Live(now)
-	best := time.Duration(1<<63 - 1)
+	minLogAge := time.Duration(1<<63 - 1)
 	for _, m := range live {
-		best = min(best, m.LogAge)
+		minLogAge = min(minLogAge, m.LogAge)
 	}
 	var list []peers.Peer
 	for _, m := range live {
-		if m.LogAge-best <= h.set.Timing.FreshFor {
+		if m.LogAge-minLogAge <= h.settings.Timing.FreshFor {
 			list = append(list, m)
 		}
 	}
 	return list
 }
 
-// wants reports whether this host should own the group. The first host in the
+// shouldOwn reports whether this host should own the group. The first host in the
 // group's order of preference claims a group without a live owner at once. Each
 // following host waits claimStagger longer, in case the hosts before it do not
 // claim the group. An owner that is no longer first hands the group over after
-// handOverAfter. Live must contain only eligible hosts.
-func (h *Host) wants(og *ownedGroup, live []peers.Peer, cutOff bool, now time.Time) bool {
+// handoverDelay.
+func (h *Host) shouldOwn(lg *localGroup, candidates []peers.Peer, logUnreachable bool, now time.Time) bool {
 	rank := -1
-	order := peers.Order(og.g.Name(), og.g.Az(), live)
+	order := peers.PreferenceOrder(lg.g.Name(), lg.g.Az(), candidates)
 	for i, m := range order {
-		if m.ID == h.set.Host.ID {
+		if m.ID == h.settings.Host.ID {
 			rank = i
 		}
 	}
-	if rank < 0 || cutOff {
+	if rank < 0 || logUnreachable {
 		return false
 	}
-	if og.g.Epoch() > 0 {
-		og.noOwner = now // after a handover, the hosts before this one claim first
+	if lg.g.Epoch() > 0 {
+		lg.ownerSeenAt = now // after a handover, the hosts before this one claim first
 		if rank == 0 {
-			og.away = now
+			lg.preferredAt = now
 		}
-		return now.Sub(og.away) < handOverAfter
+		return now.Sub(lg.preferredAt) < handoverDelay
 	}
-	og.away = now
-	if h.held(og.g.Name(), live, now) {
-		og.noOwner = now
+	lg.preferredAt = now
+	if h.hasOwner(lg.g.Name(), candidates, now) {
+		lg.ownerSeenAt = now
 		return false
 	}
-	if og.noOwner.IsZero() {
-		og.noOwner = now
+	if lg.ownerSeenAt.IsZero() {
+		lg.ownerSeenAt = now
 	}
-	return now.Sub(og.noOwner) >= time.Duration(rank)*claimStagger
+	return now.Sub(lg.ownerSeenAt) >= time.Duration(rank)*claimStagger
 }
 
-// held reports whether the group has a live owner that can write the group's stream.
-// An owner that is live but not eligible has lost its connection to the log. Other
-// hosts may claim its groups without waiting for it to detect this.
-func (h *Host) held(name string, eligible []peers.Peer, now time.Time) bool {
-	if !h.table.Holds(name, now) {
+// hasOwner reports whether the group has a live owner that can write the group's
+// stream. An owner that is live but not eligible has lost its connection to the log.
+// Other hosts may claim its groups without waiting for it to detect this.
+func (h *Host) hasOwner(name string, eligible []peers.Peer, now time.Time) bool {
+	if !h.table.HasLiveOwner(name, now) {
 		return false
 	}
 	o, _ := h.table.Owner(name)
-	is := func(m peers.Peer) bool { return m.ID == o.Host }
-	return slices.ContainsFunc(eligible, is) || !slices.ContainsFunc(h.table.Live(now), is)
+	isOwner := func(m peers.Peer) bool { return m.ID == o.Host }
+	return slices.ContainsFunc(eligible, isOwner) || !slices.ContainsFunc(h.table.Live(now), isOwner)
 }
--- a/internal/node/entry/entry_test.go
+++ b/internal/node/entry/entry_test.go
@@ -22,8 +22,8 @@
 	"lagooncourse/internal/plat/worker"
 )
 
-// refusal is the part of a problem document that TestBadRequests checks.
-type refusal struct {
+// rejection is the part of a problem document that TestBadRequests checks.
+type rejection struct {
 	Status int           `json:"status"`
 	Ran    fault.Outcome `json:"ran"`
 	Field  string        `json:"field"`
@@ -33,7 +33,7 @@
 // with the status and field on its line, and nothing may run.
 func TestBadRequests(t *testing.T) {
 	c := startTestCell(t, testCellConfig{hosts: 1, workers: 4})
-	c.team("lab", 4000)
+	c.createTeam("lab", 4000)
 	f, err := os.Open("testdata/requests.txt")
 	assert.NilError(t, err)
 	defer f.Close()
@@ -44,15 +44,15 @@
 			continue
 		}
 		n++
-		checkRefusal(t, c.hosts[0], line)
+		checkRejection(t, c.hosts[0], line)
 	}
 	assert.Assert(t, n > 20, "only %d requests", n)
 	assert.Equal(t, len(c.fleet.Runs())+len(c.execs.Executions()), 0)
 }
 
-// checkRefusal sends the request of a line "STATUS FIELD KEY METHOD PATH HEADER BODY"
-// and checks the response. LONG in the body stands for 2 MiB of text.
-func checkRefusal(t *testing.T, h *Host, line string) {
+// checkRejection sends the request of a line "STATUS FIELD KEY METHOD PATH HEADER
+// BODY" and checks the response. LONG in the body stands for 2 MiB of text.
+func checkRejection(t *testing.T, h *Host, line string) {
 	t.Helper()
 	parts := strings.SplitN(line, " ", 7)
 	assert.Equal(t, len(parts), 7, line)
@@ -73,13 +73,13 @@
 	defer resp.Body.Close()
 	data, err := io.ReadAll(resp.Body)
 	assert.NilError(t, err)
-	var got refusal
+	var got rejection
 	assert.NilError(t, json.Unmarshal(data, &got), "%s: %s", line, data)
 	field := parts[1]
 	if field == "-" {
 		field = ""
 	}
-	assert.DeepEqual(t, got, refusal{Status: status, Ran: fault.NotRun, Field: field})
+	assert.DeepEqual(t, got, rejection{Status: status, Ran: fault.NotRun, Field: field})
 	assert.Equal(t, resp.StatusCode, status, line)
 }
 
@@ -88,8 +88,8 @@
 // author of the first. Sending the applied edit again changes nothing.
 func TestRacingOperators(t *testing.T) {
 	c := startTestCell(t, testCellConfig{hosts: 2, workers: 2})
-	c.team("lab", 4000)
-	base := c.hosts[0].cell.State().VersionOf("plan/lab")
+	c.createTeam("lab", 4000)
+	base := c.hosts[0].follower.State().VersionOf("plan/lab")
 	for round := range 5 {
 		edits := []config.Edit{
 			{ID: fmt.Sprintf("kim%d", round), By: "kim", Kind: config.SetPlan, Name: "lab", Share: 2, Base: base},
@@ -118,7 +118,7 @@
 		assert.Assert(t, again.Accepted)
 		base = again.Version
 		until(t, "both hosts have the same plan", func() bool {
-			a, b := c.hosts[0].cell.State().Plans["lab"], c.hosts[1].cell.State().Plans["lab"]
+			a, b := c.hosts[0].follower.State().Plans["lab"], c.hosts[1].follower.State().Plans["lab"]
 			return a == b && a.Version == base
 		})
 	}
@@ -129,12 +129,12 @@
 // from the snapshots.
 func TestTruncatedRetention(t *testing.T) {
 	c := startTestCell(t, testCellConfig{hosts: 2, workers: 4, timing: "snapshot = 1s"})
-	c.team("lab", 8000)
+	c.createTeam("lab", 8000)
 	j := c.submit(c.hosts[0], "lab", testSpec("survey", 50).WithSubmission("first"))
 	until(t, "the job is done", func() bool { return c.state(c.hosts[0], j.ID) == jobs.Done })
 	group, _ := j.ID.Group()
 	until(t, "both streams have a snapshot after the job", func() bool {
-		return c.hosts[0].cell.sinceSnapshot() == 0 && snapshotted(c, group)
+		return c.hosts[0].follower.recordsSinceSnapshot() == 0 && snapshotted(c, group)
 	})
 	for _, h := range c.hosts {
 		h.Kill()
@@ -154,7 +154,7 @@
 // snapshotted reports whether no record follows the newest snapshot of a group.
 func snapshotted(c *testCell, name string) bool {
 	for _, h := range c.hosts {
-		if g := h.owned(name); g != nil {
+		if g := h.ownedGroup(name); g != nil {
 			n, _ := g.SinceSnapshot()
 			return n == 0
 		}
@@ -167,7 +167,7 @@
 // must meet the lower limit within 4 s.
 func TestLimitInForce(t *testing.T) {
 	c := startTestCell(t, testCellConfig{hosts: 3, workers: 6})
-	c.team("lab", 6000)
+	c.createTeam("lab", 6000)
 	for i := range 30 {
 		c.submit(c.hosts[i%3], "lab", testSpec("survey", 400))
 	}
@@ -226,7 +226,7 @@
 // parked and not run again until an operator settles it.
 func TestParkedTask(t *testing.T) {
 	c := startTestCell(t, testCellConfig{hosts: 2, workers: 4})
-	c.team("lab", 8000)
+	c.createTeam("lab", 8000)
 	j := c.submit(c.hosts[0], "lab", testSpec("survey", 60_000))
 	until(t, "the task runs", func() bool { return running(c) == 1 })
 	c.fleet.Set(fakes.WorkerSwitch{Worker: c.fleet.Runs()[0].Worker, Dead: true})
@@ -245,7 +245,7 @@
 // not overlap.
 func TestLostWorkerReruns(t *testing.T) {
 	c := startTestCell(t, testCellConfig{hosts: 2, workers: 4})
-	c.team("lab", 8000)
+	c.createTeam("lab", 8000)
 	spec := testSpec("survey", 1000)
 	spec.Idempotent = true
 	j := c.submit(c.hosts[0], "lab", spec)
@@ -265,7 +265,7 @@
 // host's configuration counts as fresh.
 func TestFreshness(t *testing.T) {
 	c := startTestCell(t, testCellConfig{hosts: 3, workers: 3, timing: "freshFor = 300ms\nsuspectAfter = 900ms\ngossip = 50ms"})
-	fresh := func(i int) bool { return c.hosts[i].cell.Fresh() == nil }
+	fresh := func(i int) bool { return c.hosts[i].follower.Fresh() == nil }
 	steady := func(what string, ok func() bool) {
 		t.Helper()
 		until(t, what, ok)
@@ -279,10 +279,10 @@
 	}
 	steady("all hosts read the log: all are fresh", func() bool { return fresh(0) && fresh(1) && fresh(2) })
 
-	knowEachOther(c)
+	waitForMembership(c)
 	c.log.Set(fakes.LogSwitch{Outage: true})
 	until(t, "the configuration is older than freshFor", func() bool {
-		age, _ := c.hosts[0].cell.Age()
+		age, _ := c.hosts[0].follower.Age()
 		return age > time.Second
 	})
 	steady("the log is down and all hosts are connected to each other: all are fresh", func() bool { return fresh(0) && fresh(1) && fresh(2) })
@@ -299,10 +299,10 @@
 // them without the log.
 func TestCutOffHost(t *testing.T) {
 	c := startTestCell(t, testCellConfig{hosts: 3, workers: 6, timing: "freshFor = 300ms\nsuspectAfter = 900ms\ngossip = 50ms"})
-	c.team("lab", 8000)
-	knowEachOther(c)
-	cut(c, 0, true)
-	c.gates[0].cut.Store(true)
+	c.createTeam("lab", 8000)
+	waitForMembership(c)
+	disconnect(c, 0, true)
+	c.gates[0].disconnected.Store(true)
 	until(t, "the disconnected host is not ready", func() bool { return c.hosts[0].Ready() != nil })
 	_, err := send[jobs.Job](c.hosts[0], "lab.secret", http.MethodPost, "/jobs", testSpec("survey", 10))
 	assert.Equal(t, fault.From(err).Code, fault.Unavailable)
@@ -312,16 +312,16 @@
 		_, err := send[jobs.Job](c.hosts[2], "lab.secret", http.MethodPost, "/jobs", testSpec("survey", 10))
 		return fault.Is(err, fault.Denied)
 	})
-	cut(c, 0, false)
+	disconnect(c, 0, false)
 	until(t, "the host receives the configuration from its peers without the log", func() bool {
-		_, err := c.hosts[0].cell.State().TeamOfKey("lab.secret")
+		_, err := c.hosts[0].follower.State().TeamOfKey("lab.secret")
 		return fault.Is(err, fault.Denied) && c.hosts[0].Ready() == nil
 	})
 	assert.Equal(t, len(c.fleet.Runs()), 0)
 }
 
-// knowEachOther waits until every host has all hosts in its membership table.
-func knowEachOther(c *testCell) {
+// waitForMembership waits until every host has all hosts in its membership table.
+func waitForMembership(c *testCell) {
 	c.t.Helper()
 	until(c.t, "every host lists all hosts as live", func() bool {
 		for _, h := range c.hosts {
@@ -338,13 +338,13 @@
 // hosts, in which it would remain ready.
 func TestLonelyHost(t *testing.T) {
 	c := startTestCell(t, testCellConfig{hosts: 1, workers: 2, timing: "freshFor = 300ms"})
-	c.gates[0].cut.Store(true)
+	c.gates[0].disconnected.Store(true)
 	until(t, "the isolated host is not ready", func() bool { return c.hosts[0].Ready() != nil })
 }
 
-// cut disconnects host i from all other hosts if on is true, and reconnects it
+// disconnect disconnects host i from all other hosts if on is true, and reconnects it
 // otherwise.
-func cut(c *testCell, i int, on bool) {
+func disconnect(c *testCell, i int, on bool) {
 	for j, h := range c.hosts {
 		if j != i {
 			h.Cut(c.hosts[i].Peer(), on)
@@ -357,7 +357,7 @@
 // calls must succeed.
 func TestStopFinishesCalls(t *testing.T) {
 	c := startTestCell(t, testCellConfig{hosts: 2, workers: 2})
-	c.team("lab", 4000)
+	c.createTeam("lab", 4000)
 	c.execs.Set(fakes.ExecSwitch{LateMs: 300})
 	const calls = 20
 	errs := make(chan error, calls)
@@ -378,7 +378,7 @@
 		}()
 	}
 	until(t, "the calls run", func() bool { return len(c.execs.Executions()) >= calls/2 })
-	ctx, cancel := context.WithTimeout(context.Background(), pollBound)
+	ctx, cancel := context.WithTimeout(context.Background(), pollTimeout)
 	defer cancel()
 	assert.NilError(t, c.hosts[0].Stop(ctx))
 	for range calls {
--- a/internal/node/entry/group.go
+++ b/internal/node/entry/group.go
@@ -30,10 +30,10 @@
 	return names
 }
 
-// homeOf returns the group that a submission or call is assigned to, by rendezvous
+// homeGroup returns the group that a submission or call is assigned to, by rendezvous
 // hash. The result depends only on the arguments, so a retry reaches the same group
 // through any host.
-func homeOf(names []string, team, submission string) string {
+func homeGroup(names []string, team, submission string) string {
 	var best string
 	var bestHash uint64
 	key := group.SubKey(team, submission)
--- a/internal/node/entry/host.go
+++ b/internal/node/entry/host.go
@@ -50,27 +50,27 @@
 
 // Host is a running entry host.
 type Host struct {
-	cfg     Config
-	set     Settings
-	log     logr.Logger
-	clock   clock.Clock
-	api     *httpd.Server
-	frames  *frame.Server
-	pool    *frame.Pool
-	table   *peers.Table
-	cell    *follower
-	lister  hosts.Lister
-	router  *route.Router
-	metrics *metrics
-	started time.Time
+	cfg        Config
+	settings   Settings
+	log        logr.Logger
+	clock      clock.Clock
+	api        *httpd.Server
+	peerServer *frame.Server
+	peerConns  *frame.Pool
+	table      *peers.Table
+	follower   *configFollower
+	lister     hosts.Lister
+	router     *route.Router
+	metrics    *metrics
+	started    time.Time
 
 	cancel context.CancelFunc // stops the loops
 	loops  sync.WaitGroup
 
 	mu       sync.Mutex
-	groups   map[string]*ownedGroup
+	groups   map[string]*localGroup
 	pools    map[poolKey]*route.Pool
-	list     hosts.List // newest host list of the platform
+	hostList hosts.List // newest host list of the platform
 	leaving  bool       // Stop was called
 	inFlight int        // requests from peers and calls to targets in flight
 }
@@ -78,32 +78,32 @@
 // poolKey identifies a pool of targets.
 type poolKey struct{ group, service string }
 
-// ownedGroup is a group of the cell, whether this host owns it or not, with the
+// localGroup is a group of the cell, whether this host owns it or not, with the
 // state that decides whether this host should own it.
-type ownedGroup struct {
-	g       *owner.Group
-	cancel  context.CancelFunc
-	done    chan struct{} // closed when the group's loop has ended
-	noOwner time.Time     // last time at which the group had a live owner, or was first seen without one
-	away    time.Time     // last time at which this host was the preferred owner or did not own the group
+type localGroup struct {
+	g           *owner.Group
+	cancel      context.CancelFunc
+	done        chan struct{} // closed when the group's loop has ended
+	ownerSeenAt time.Time     // last time at which the group had a live owner, or was first seen without one
+	preferredAt time.Time     // last time at which this host was the preferred owner or did not own the group
 }
 
 // Start opens the listeners and starts the loops that join the cell.
 func Start(cfg Config) (h *Host, err error) {
 	defer fault.Note(&err, "start entry host %q", cfg.Settings.Host.ID)
-	set := cfg.Settings
+	settings := cfg.Settings
 	if cfg.Clock == nil {
 		cfg.Clock = clock.System{}
 	}
 	if cfg.Log == nil {
-		cfg.Log = stream.NewClient(stream.ClientConfig{URL: set.Platform.Log, Timeout: set.Platform.LogTimeout})
+		cfg.Log = stream.NewClient(stream.ClientConfig{URL: settings.Platform.Log, Timeout: settings.Platform.LogTimeout})
 	}
 	h = &Host{
-		cfg: cfg, set: set, clock: cfg.Clock, started: cfg.Clock.Now(),
-		log:    cfg.Logger.WithName("entry").WithValues("host", set.Host.ID),
-		pool:   frame.NewPool(frame.PoolConfig{}),
-		lister: hosts.NewClient(hosts.ClientConfig{URLs: set.Platform.HostLists}),
-		groups: map[string]*ownedGroup{}, pools: map[poolKey]*route.Pool{},
+		cfg: cfg, settings: settings, clock: cfg.Clock, started: cfg.Clock.Now(),
+		log:       cfg.Logger.WithName("entry").WithValues("host", settings.Host.ID),
+		peerConns: frame.NewPool(frame.PoolConfig{}),
+		lister:    hosts.NewClient(hosts.ClientConfig{URLs: settings.Platform.HostLists}),
+		groups:    map[string]*localGroup{}, pools: map[poolKey]*route.Pool{},
 	}
 	if err := h.listen(); err != nil {
 		h.Kill()
@@ -116,13 +116,13 @@
 // listen opens the listeners for callers and for peers.
 func (h *Host) listen() (err error) {
 	h.metrics = newMetrics(h)
-	h.api, err = httpd.Listen(httpd.Config{Name: "entry", Addr: h.set.Host.Listen, Routes: h.routes()})
+	h.api, err = httpd.Listen(httpd.Config{Name: "entry", Addr: h.settings.Host.Listen, Routes: h.routes()})
 	if err != nil {
 		return err
 	}
-	h.frames = frame.NewServer(frame.ServerConfig{Addr: h.set.Host.Peer})
-	h.handlers()
-	return h.frames.Listen()
+	h.peerServer = frame.NewServer(frame.ServerConfig{Addr: h.settings.Host.Peer})
+	h.registerHandlers()
+	return h.peerServer.Listen()
 }
 
 // join creates the parts that need the addresses of the open listeners and starts
@@ -130,23 +130,23 @@
 func (h *Host) join() {
 	h.table = peers.NewTable(peers.Config{
 		Self: wire.Member{
-			ID: h.set.Host.ID, Addr: h.frames.Addr(), API: h.api.URL(), Az: h.set.Host.Az,
+			ID: h.settings.Host.ID, Addr: h.peerServer.Addr(), API: h.api.URL(), Az: h.settings.Host.Az,
 			Boot: bootNumber(h.clock.Now()),
 		},
-		SuspectAfter:  h.set.Timing.SuspectAfter,
-		ForgetAfter:   forgetMember,
-		DescribeEvery: describeEvery,
+		SuspectAfter:           h.settings.Timing.SuspectAfter,
+		ForgetAfter:            forgetAfter,
+		MinDescriptionInterval: minDescriptionInterval,
 	})
 	machine := config.NewMachine()
-	h.cell = &follower{
-		log: h.cfg.Log, table: h.table, pool: h.pool, clock: h.clock, logger: h.log, freshFor: h.set.Timing.FreshFor,
-		alone:   len(h.set.Host.Peers) == 0,
-		machine: machine, replay: &stream.Replay{Stream: config.Stream, Machine: machine}, changed: make(chan struct{}),
+	h.follower = &configFollower{
+		log: h.cfg.Log, table: h.table, peerConns: h.peerConns, clock: h.clock, logger: h.log, freshFor: h.settings.Timing.FreshFor,
+		soleHost: len(h.settings.Host.Peers) == 0,
+		machine:  machine, replay: &stream.Replay{Stream: config.Stream, Machine: machine}, changed: make(chan struct{}),
 	}
-	h.router = route.NewRouter(route.RouterConfig{Az: h.set.Host.Az, Forward: h, Rand: newRand()})
+	h.router = route.NewRouter(route.RouterConfig{Az: h.settings.Host.Az, Forwarder: h, Rand: newRand()})
 	ctx, cancel := context.WithCancel(context.Background())
 	h.cancel = cancel
-	for _, loop := range []func(context.Context){h.cell.run, h.gossipLoop, h.hostsLoop, h.dutyLoop, h.snapshotLoop} {
+	for _, loop := range []func(context.Context){h.follower.run, h.gossipLoop, h.hostListLoop, h.ownershipLoop, h.snapshotLoop} {
 		h.loops.Add(1)
 		go func() {
 			defer h.loops.Done()
@@ -154,7 +154,7 @@
 		}()
 	}
 	go func() { _ = h.api.Serve() }()
-	h.log.Info("started", "api", h.api.Addr(), "peer", h.frames.Addr(), "az", h.set.Host.Az)
+	h.log.Info("started", "api", h.api.Addr(), "peer", h.peerServer.Addr(), "az", h.settings.Host.Az)
 }
 
 // bootNumber returns the incarnation number of a host that starts at t: the time
@@ -167,15 +167,15 @@
 
 // Intervals, timeouts and limits of the loops.
 const (
-	forgetMember  = time.Minute
-	announcePeers = 8 // peers that announce sends to
-	describeEvery = 500 * time.Millisecond
-	gossipTimeout = time.Second
-	dutyEvery     = 100 * time.Millisecond
-	joinGrace     = time.Second             // after the start, to receive the owners by gossip before claiming
-	handOverAfter = 3 * time.Second         // until an owner hands over to a preferred host
-	claimStagger  = 1500 * time.Millisecond // delay of a claim per rank, to avoid concurrent claims
-	snapshotEvery = 5 * time.Second         // between two checks whether a snapshot is due
+	forgetAfter            = time.Minute
+	announceFanout         = 8 // peers that announce sends to
+	minDescriptionInterval = 500 * time.Millisecond
+	gossipTimeout          = time.Second
+	ownershipInterval      = 100 * time.Millisecond
+	claimDelay             = time.Second             // from the start to the first claim, to learn the current owners by gossip
+	handoverDelay          = 3 * time.Second         // until an owner hands over to a preferred host
+	claimStagger           = 1500 * time.Millisecond // delay of a claim per rank, to avoid concurrent claims
+	snapshotCheckInterval  = 5 * time.Second         // between two checks whether a snapshot is due
 )
 
 // newRand returns a random generator with a random seed.
@@ -185,13 +185,13 @@
 func (h *Host) API() string { return h.api.URL() }
 
 // Peer returns the address on which the host serves other entry hosts.
-func (h *Host) Peer() string { return h.frames.Addr() }
+func (h *Host) Peer() string { return h.peerServer.Addr() }
 
 // ID returns the host's id.
-func (h *Host) ID() string { return h.set.Host.ID }
+func (h *Host) ID() string { return h.settings.Host.ID }
 
-// tick calls fn at once and then at every interval d until ctx ends.
-func tick(ctx context.Context, d time.Duration, fn func(context.Context)) {
+// runEvery calls fn at once and then at every interval d until ctx ends.
+func runEvery(ctx context.Context, d time.Duration, fn func(context.Context)) {
 	t := time.NewTicker(d)
 	defer t.Stop()
 	for {
@@ -208,11 +208,11 @@
 // peers.
 func (h *Host) gossipLoop(ctx context.Context) {
 	r := newRand()
-	tick(ctx, h.set.Timing.Gossip, func(ctx context.Context) {
-		h.beat()
-		addrs := h.table.Partners(r, h.clock.Now())
-		if len(addrs) == 0 && len(h.set.Host.Peers) > 0 {
-			addrs = append(addrs, h.set.Host.Peers[r.IntN(len(h.set.Host.Peers))])
+	runEvery(ctx, h.settings.Timing.Gossip, func(ctx context.Context) {
+		h.updateHeartbeat()
+		addrs := h.table.GossipPartners(r, h.clock.Now())
+		if len(addrs) == 0 && len(h.settings.Host.Peers) > 0 {
+			addrs = append(addrs, h.settings.Host.Peers[r.IntN(len(h.settings.Host.Peers))])
 		}
 		for _, addr := range addrs {
 			if addr != h.Peer() {
@@ -222,15 +222,15 @@
 	})
 }
 
-// beat increments the heartbeat and updates the load that it reports.
-func (h *Host) beat() {
-	_, next := h.cell.Age()
-	duties, pools := h.ownDuties(), h.ownPools()
+// updateHeartbeat increments the heartbeat and updates the load that it reports.
+func (h *Host) updateHeartbeat() {
+	_, next := h.follower.Age()
+	groups, pools := h.ownedGroups(), h.servedPools()
 	h.mu.Lock()
 	leaving := h.leaving
 	h.mu.Unlock()
-	h.table.Beat(peers.Report{
-		Member: wire.Member{Groups: duties, Pools: pools, Leaving: leaving}, CellNext: next, LogAge: h.cell.LogAge(),
+	h.table.AdvanceHeartbeat(peers.LocalState{
+		Member: wire.Member{Groups: groups, Pools: pools, Leaving: leaving}, ConfigNext: next, LogAge: h.follower.LogAge(),
 	}, h.clock.Now())
 }
 
@@ -238,7 +238,7 @@
 func (h *Host) gossip(ctx context.Context, addr string, msg wire.GossipMsg) {
 	ctx, cancel := context.WithTimeout(ctx, gossipTimeout)
 	defer cancel()
-	a, err := frame.Call(ctx, h.pool, addr, wire.Gossip, msg)
+	a, err := frame.Call(ctx, h.peerConns, addr, wire.Gossip, msg)
 	if err == nil {
 		h.table.Merge(a, h.clock.Now())
 	}
@@ -247,51 +247,51 @@
 // announce sends the changed groups of this host to some peers at once, so that
 // requests reach the new owner before the next gossip rounds.
 func (h *Host) announce(ctx context.Context) {
-	h.beat()
+	h.updateHeartbeat()
 	msg := h.table.Announcement()
-	for _, addr := range h.table.Pick(announcePeers, newRand(), h.clock.Now()) {
+	for _, addr := range h.table.PickLive(announceFanout, newRand(), h.clock.Now()) {
 		go h.gossip(ctx, addr, msg)
 	}
 }
 
-// ownDuties returns the descriptions of the groups that this host owns.
-func (h *Host) ownDuties() []wire.Duty {
-	var duties []wire.Duty
-	for _, og := range h.ownGroups() {
-		if d, ok := og.g.Duty(); ok {
-			duties = append(duties, d)
+// ownedGroups returns the descriptions of the groups that this host owns.
+func (h *Host) ownedGroups() []wire.Duty {
+	var groups []wire.Duty
+	for _, lg := range h.localGroups() {
+		if d, ok := lg.g.Duty(); ok {
+			groups = append(groups, d)
 		}
 	}
-	return duties
+	return groups
 }
 
-// ownGroups returns all groups of the cell, whether this host owns them or not.
-func (h *Host) ownGroups() []*ownedGroup {
+// localGroups returns all groups of the cell, whether this host owns them or not.
+func (h *Host) localGroups() []*localGroup {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	list := make([]*ownedGroup, 0, len(h.groups))
-	for _, og := range h.groups {
-		list = append(list, og)
+	list := make([]*localGroup, 0, len(h.groups))
+	for _, lg := range h.groups {
+		list = append(list, lg)
 	}
 	return list
 }
 
-// hostsLoop polls the platform's host list.
-func (h *Host) hostsLoop(ctx context.Context) {
-	tick(ctx, h.set.Platform.HostsEvery, func(ctx context.Context) {
+// hostListLoop polls the platform's host list.
+func (h *Host) hostListLoop(ctx context.Context) {
+	runEvery(ctx, h.settings.Platform.HostsEvery, func(ctx context.Context) {
 		list, err := h.lister.List(ctx)
 		if err != nil {
 			h.log.V(1).Info("reading the host list failed", "err", err.Error())
 			return
 		}
-		h.setHosts(ctx, list)
+		h.applyHostList(ctx, list)
 	})
 }
 
-// setHosts starts the groups that are new in the host list and assigns the workers
+// applyHostList starts the groups that are new in the host list and assigns the workers
 // and targets of the list to groups and pools.
-func (h *Host) setHosts(ctx context.Context, list hosts.List) {
-	n := h.set.Platform.GroupsInAz
+func (h *Host) applyHostList(ctx context.Context, list hosts.List) {
+	n := h.settings.Platform.GroupsInAz
 	workers := map[string][]hosts.Worker{}
 	azs := map[string]string{}
 	for _, w := range list.Workers {
@@ -300,7 +300,7 @@
 		azs[name] = w.Az
 	}
 	h.mu.Lock()
-	h.list = list
+	h.hostList = list
 	if ctx.Err() == nil && !h.leaving {
 		for name, az := range azs {
 			if h.groups[name] == nil {
@@ -309,44 +309,44 @@
 		}
 	}
 	h.mu.Unlock()
-	for _, og := range h.ownGroups() {
-		og.g.SetWorkers(workers[og.g.Name()])
+	for _, lg := range h.localGroups() {
+		lg.g.SetWorkers(workers[lg.g.Name()])
 	}
 	h.syncPools(list)
 }
 
 // newGroup starts the loop of a group. This host does not own the group yet.
-func (h *Host) newGroup(name, az string) *ownedGroup {
+func (h *Host) newGroup(name, az string) *localGroup {
 	ctx, cancel := context.WithCancel(context.Background())
 	g := owner.New(owner.Config{
-		Name: name, Az: az, Self: group.Holder{Host: h.set.Host.ID, Addr: h.frames.Addr()},
-		Log: h.cfg.Log, Cell: h.cell, Remote: &remote{h: h}, Clock: h.clock, Logger: h.cfg.Logger,
-		Timing: h.set.owner(), Policy: h.cfg.Policy,
+		Name: name, Az: az, Self: group.Holder{Host: h.settings.Host.ID, Addr: h.peerServer.Addr()},
+		Log: h.cfg.Log, Cell: h.follower, Remote: &remote{h: h}, Clock: h.clock, Logger: h.cfg.Logger,
+		Timing: h.settings.groupTiming(), Policy: h.cfg.Policy,
 		Dial: func(w hosts.Worker) worker.Worker {
 			return worker.NewClient(worker.ClientConfig{URL: w.URL})
 		},
 	})
-	og := &ownedGroup{g: g, cancel: cancel, done: make(chan struct{})}
+	lg := &localGroup{g: g, cancel: cancel, done: make(chan struct{})}
 	go func() {
-		defer close(og.done)
+		defer close(lg.done)
 		g.Run(ctx)
 	}()
-	return og
+	return lg
 }
 
 // snapshotLoop appends snapshots of the configuration if this host has the lowest
 // id of all live hosts.
 func (h *Host) snapshotLoop(ctx context.Context) {
 	last := h.clock.Now()
-	tick(ctx, snapshotEvery, func(ctx context.Context) {
+	runEvery(ctx, snapshotCheckInterval, func(ctx context.Context) {
 		now := h.clock.Now()
-		records := h.cell.sinceSnapshot()
-		due := records >= h.set.owner().SnapshotAt || records > 0 && now.Sub(last) >= h.set.Timing.Snapshot
+		records := h.follower.recordsSinceSnapshot()
+		due := records >= h.settings.groupTiming().SnapshotAt || records > 0 && now.Sub(last) >= h.settings.Timing.Snapshot
 		live := h.table.Live(now)
-		if !due || len(live) == 0 || live[0].ID != h.set.Host.ID {
+		if !due || len(live) == 0 || live[0].ID != h.settings.Host.ID {
 			return
 		}
-		if err := h.cell.snapshot(ctx); err == nil {
+		if err := h.follower.appendSnapshot(ctx); err == nil {
 			last = now
 		}
 	})
@@ -357,7 +357,7 @@
 	targets := map[poolKey][]hosts.Target{}
 	azs := map[string]string{}
 	for _, t := range list.Targets {
-		k := poolKey{group: GroupOf(t.Az, t.Rack, h.set.Platform.GroupsInAz), service: t.Service}
+		k := poolKey{group: GroupOf(t.Az, t.Rack, h.settings.Platform.GroupsInAz), service: t.Service}
 		targets[k] = append(targets[k], t)
 		azs[k.group] = t.Az
 	}
@@ -383,13 +383,13 @@
 // finishes the requests in flight and closes. It returns an error if ctx ends
 // before all requests have finished.
 func (h *Host) Stop(ctx context.Context) (err error) {
-	defer fault.Note(&err, "stop entry host %q", h.set.Host.ID)
+	defer fault.Note(&err, "stop entry host %q", h.settings.Host.ID)
 	h.mu.Lock()
 	h.leaving = true
 	h.mu.Unlock()
 	h.log.Info("stopping")
-	h.beat()
-	h.release(ctx)
+	h.updateHeartbeat()
+	h.releaseGroups(ctx)
 	h.drain(ctx)
 	err = h.api.Shutdown(ctx)
 	h.close()
@@ -397,38 +397,38 @@
 	return err
 }
 
-// release hands over all groups and waits for their loops to end.
-func (h *Host) release(ctx context.Context) {
-	list := h.ownGroups()
-	for _, og := range list {
-		og.cancel()
+// releaseGroups hands over all groups and waits for their loops to end.
+func (h *Host) releaseGroups(ctx context.Context) {
+	list := h.localGroups()
+	for _, lg := range list {
+		lg.cancel()
 	}
-	for _, og := range list {
+	for _, lg := range list {
 		select {
-		case <-og.done:
+		case <-lg.done:
 		case <-ctx.Done():
 		}
 	}
 }
 
-const drainPoll = 20 * time.Millisecond
+const drainPollInterval = 20 * time.Millisecond
 
 // drain waits until the load balancer and the peers have had time to see that this
 // host is leaving, and until no request from a peer or call to a target is in
 // flight.
 func (h *Host) drain(ctx context.Context) {
-	quiet := h.clock.Now().Add(max(h.set.Timing.NotReady, 2*h.set.Timing.Gossip))
+	earliestEnd := h.clock.Now().Add(max(h.settings.Timing.NotReady, 2*h.settings.Timing.Gossip))
 	for {
 		h.mu.Lock()
 		busy := h.inFlight
 		h.mu.Unlock()
-		if busy == 0 && h.clock.Now().After(quiet) {
+		if busy == 0 && h.clock.Now().After(earliestEnd) {
 			return
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(drainPoll):
+		case <-time.After(drainPollInterval):
 		}
 	}
 }
@@ -442,9 +442,9 @@
 	for _, p := range h.pools {
 		p.Close()
 	}
-	h.pool.Close()
-	if h.frames != nil {
-		h.frames.Close()
+	h.peerConns.Close()
+	if h.peerServer != nil {
+		h.peerServer.Close()
 	}
 }
 
@@ -454,19 +454,19 @@
 	if h.api != nil {
 		h.api.Close()
 	}
-	if h.frames != nil {
-		h.pool.Close()
-		h.frames.Close()
+	if h.peerServer != nil {
+		h.peerConns.Close()
+		h.peerServer.Close()
 	}
 	if h.cancel != nil {
 		h.cancel()
 	}
-	for _, og := range h.ownGroups() {
-		og.g.Abort()
-		og.cancel()
+	for _, lg := range h.localGroups() {
+		lg.g.Abort()
+		lg.cancel()
 	}
 }
 
 // Cut blocks the connection from this host to a peer's address if on is true, and
 // unblocks it otherwise. Tests use it to simulate network failures.
-func (h *Host) Cut(addr string, on bool) { h.pool.Cut(addr, on) }
+func (h *Host) Cut(addr string, on bool) { h.peerConns.Cut(addr, on) }
--- a/internal/node/entry/jobs.go
+++ b/internal/node/entry/jobs.go
@@ -20,11 +20,11 @@
 
 // postJob accepts a job. It responds after the job has been written to the log.
 func (h *Host) postJob(r *http.Request) (j jobs.Job, err error) {
-	spec, err := httpd.ReadJSON[jobs.Spec](r, h.set.API.MaxBody)
+	spec, err := httpd.ReadJSON[jobs.Spec](r, h.settings.API.MaxBody)
 	if err != nil {
 		return j, err
 	}
-	team, err := h.team(r)
+	team, err := h.requestTeam(r)
 	if err != nil {
 		return j, err
 	}
@@ -38,9 +38,9 @@
 	if err := h.admit(spec); err != nil {
 		return j, err
 	}
-	name := homeOf(h.groupNames(), team, spec.Submission)
-	return withOwner(r.Context(), func(ctx context.Context) (jobs.Job, error) {
-		return toOwner(ctx, h, name, wire.Submit, wire.SubmitMsg{Group: name, Spec: spec}, submitAt)
+	name := homeGroup(h.groupNames(), team, spec.Submission)
+	return retryUntilOwner(r.Context(), func(ctx context.Context) (jobs.Job, error) {
+		return callOwner(ctx, h, name, wire.Submit, wire.SubmitMsg{Group: name, Spec: spec}, submitLocal)
 	})
 }
 
@@ -48,7 +48,7 @@
 func (h *Host) groupNames() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return groupNames(h.list, h.set.Platform.GroupsInAz)
+	return groupNames(h.hostList, h.settings.Platform.GroupsInAz)
 }
 
 // admit returns an error for a job that is invalid, that its team may not run, or
@@ -57,15 +57,15 @@
 	if err := spec.Check(); err != nil {
 		return err
 	}
-	if err := h.allowed(spec.Team, "queue", spec.Queue); err != nil {
+	if err := h.checkAllowed(spec.Team, "queue", spec.Queue); err != nil {
 		return err
 	}
 	if spec.Az != "" {
-		if err := h.allowed(spec.Team, "az", spec.Az); err != nil {
+		if err := h.checkAllowed(spec.Team, "az", spec.Az); err != nil {
 			return err
 		}
 	}
-	limit := h.cell.State().Limit(spec.Team)
+	limit := h.follower.State().Limit(spec.Team)
 	need := spec.Size
 	if spec.Kind == jobs.Gang {
 		need = spec.Total()
@@ -86,10 +86,10 @@
 func (h *Host) feasible(spec jobs.Spec) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if len(h.list.Workers) == 0 {
+	if len(h.hostList.Workers) == 0 {
 		return fault.New(fault.Unavailable, fault.NotRun, "this host has not read the host list yet").WithRetryAfter(1)
 	}
-	for _, w := range h.list.Workers {
+	for _, w := range h.hostList.Workers {
 		fits := spec.Size.Fits(jobs.Size{CPU: w.CPU, Mem: w.Mem, Accel: w.Accel})
 		if fits && (spec.Az == "" || spec.Az == w.Az) {
 			return nil
@@ -105,11 +105,11 @@
 	if err != nil {
 		return a, err
 	}
-	waitMs, err := queryInt(r, "waitMs", maxWait.Milliseconds())
+	waitMs, err := queryInt(r, "waitMs", maxStatusWait.Milliseconds())
 	if err != nil {
 		return a, err
 	}
-	s, err := h.jobOf(r, id, waitMs)
+	s, err := h.readJob(r, id, waitMs)
 	return JobAnswer{Job: s.Job, State: s.Job.State(), Why: s.Why}, err
 }
 
@@ -143,43 +143,43 @@
 	return n, nil
 }
 
-// jobOf returns a job if the request may read it: the job belongs to the request's
+// readJob returns a job if the request may read it: the job belongs to the request's
 // team, or the request comes from an operator. It waits up to waitMs for the job's
 // end.
-func (h *Host) jobOf(r *http.Request, id jobs.ID, waitMs int64) (s wire.StatusAnswer, err error) {
-	team, err := h.team(r)
-	if err != nil && h.operator(r) != nil {
+func (h *Host) readJob(r *http.Request, id jobs.ID, waitMs int64) (s wire.StatusAnswer, err error) {
+	team, err := h.requestTeam(r)
+	if err != nil && h.checkOperator(r) != nil {
 		return s, err
 	}
-	s, err = withOwner(r.Context(), func(ctx context.Context) (wire.StatusAnswer, error) {
-		return toOwner(ctx, h, groupOfJob(id), wire.Status, wire.StatusMsg{Job: id}, (*owner.Group).Status)
+	s, err = retryUntilOwner(r.Context(), func(ctx context.Context) (wire.StatusAnswer, error) {
+		return callOwner(ctx, h, groupOfJob(id), wire.Status, wire.StatusMsg{Job: id}, (*owner.Group).Status)
 	})
 	if err != nil {
 		return s, err
 	}
-	if s.Job.Spec.Team != team && h.operator(r) != nil {
+	if s.Job.Spec.Team != team && h.checkOperator(r) != nil {
 		return wire.StatusAnswer{}, fault.New(fault.Denied, fault.NotRun, "job %q belongs to another team", id)
 	}
-	return h.await(r.Context(), s, waitMs)
+	return h.waitForEnd(r.Context(), s, waitMs)
 }
 
-// await waits up to waitMs for the job's end. It retries when the group's owner
+// waitForEnd waits up to waitMs for the job's end. It retries when the group's owner
 // fails or changes during the wait.
-func (h *Host) await(ctx context.Context, s wire.StatusAnswer, waitMs int64) (wire.StatusAnswer, error) {
+func (h *Host) waitForEnd(ctx context.Context, s wire.StatusAnswer, waitMs int64) (wire.StatusAnswer, error) {
 	deadline := h.clock.Now().Add(time.Duration(waitMs) * time.Millisecond)
 	for !s.Job.Ended() {
 		left := deadline.Sub(h.clock.Now()).Milliseconds()
 		if left <= 0 {
 			return s, nil
 		}
-		msg := wire.StatusMsg{Job: s.Job.ID, WaitMs: min(left, statusWait.Milliseconds())}
-		next, err := toOwner(ctx, h, groupOfJob(s.Job.ID), wire.Status, msg, (*owner.Group).Status)
+		msg := wire.StatusMsg{Job: s.Job.ID, WaitMs: min(left, maxOwnerStatusWait.Milliseconds())}
+		next, err := callOwner(ctx, h, groupOfJob(s.Job.ID), wire.Status, msg, (*owner.Group).Status)
 		if err == nil {
 			s = next
 			continue
 		}
 		select {
-		case <-time.After(ownerRetry):
+		case <-time.After(ownerRetryInterval):
 		case <-ctx.Done():
 			return s, nil
 		}
@@ -187,9 +187,9 @@
 	return s, nil
 }
 
-// statusWait limits a single wait at a group's owner, so that the failure of an owner
-// is detected.
-const statusWait = 2 * time.Second
+// maxOwnerStatusWait limits a single wait at a group's owner, so that the failure of
+// an owner is detected.
+const maxOwnerStatusWait = 2 * time.Second
 
 // postCancel cancels a job.
 func (h *Host) postCancel(r *http.Request) (a JobAnswer, err error) {
@@ -197,11 +197,11 @@
 	if err != nil {
 		return a, err
 	}
-	if _, err := h.jobOf(r, id, 0); err != nil {
+	if _, err := h.readJob(r, id, 0); err != nil {
 		return a, err
 	}
-	j, err := withOwner(r.Context(), func(ctx context.Context) (jobs.Job, error) {
-		return toOwner(ctx, h, groupOfJob(id), wire.Cancel, wire.CancelMsg{Job: id}, cancelAt)
+	j, err := retryUntilOwner(r.Context(), func(ctx context.Context) (jobs.Job, error) {
+		return callOwner(ctx, h, groupOfJob(id), wire.Cancel, wire.CancelMsg{Job: id}, cancelLocal)
 	})
 	return JobAnswer{Job: j, State: j.State()}, err
 }
@@ -215,8 +215,8 @@
 // the request without a team's key.
 func (h *Host) getJobs(r *http.Request) (l JobList, err error) {
 	team := ""
-	if h.operator(r) != nil || bearer(r) != "" {
-		if team, err = h.team(r); err != nil {
+	if h.checkOperator(r) != nil || bearerToken(r) != "" {
+		if team, err = h.requestTeam(r); err != nil {
 			return l, err
 		}
 	}
@@ -224,7 +224,7 @@
 	state := jobs.State(r.URL.Query().Get("state"))
 	for _, name := range h.groupNames() {
 		msg := wire.ListMsg{Group: name, Team: team, State: state, Max: maxListJobs}
-		a, err := toOwner(r.Context(), h, name, wire.List, msg, (*owner.Group).List)
+		a, err := callOwner(r.Context(), h, name, wire.List, msg, (*owner.Group).List)
 		if err != nil {
 			return l, err
 		}
--- a/internal/node/entry/metrics.go
+++ b/internal/node/entry/metrics.go
@@ -30,41 +30,41 @@
 		}, []string{"service", "ran"}),
 	}
 	m.registry.MustRegister(m.requests, m.calls)
-	m.gauge("cell_age_seconds", "Time since the configuration was known to be complete.", func() float64 {
-		age, _ := h.cell.Age()
+	m.registerGauge("cell_age_seconds", "Time since the configuration was known to be complete.", func() float64 {
+		age, _ := h.follower.Age()
 		return age.Seconds()
 	})
-	m.gauge("cell_next_offset", "Next offset of the configuration stream to read.", func() float64 {
-		_, next := h.cell.Age()
+	m.registerGauge("cell_next_offset", "Next offset of the configuration stream to read.", func() float64 {
+		_, next := h.follower.Age()
 		return float64(next)
 	})
-	m.gauge("live_hosts", "Entry hosts that are alive, this one included.", func() float64 {
+	m.registerGauge("live_hosts", "Entry hosts that are alive, this one included.", func() float64 {
 		return float64(len(h.table.Live(h.clock.Now())))
 	})
-	m.gauge("peer_control_bytes_out_total", "Bytes of membership and configuration sent to entry hosts.", func() float64 {
+	m.registerGauge("peer_control_bytes_out_total", "Bytes of membership and configuration sent to entry hosts.", func() float64 {
 		return float64(h.traffic().Control.Out)
 	})
-	m.gauge("peer_work_bytes_out_total", "Bytes of jobs and calls sent to entry hosts.", func() float64 {
+	m.registerGauge("peer_work_bytes_out_total", "Bytes of jobs and calls sent to entry hosts.", func() float64 {
 		return float64(h.traffic().Work.Out)
 	})
 	m.registry.MustRegister(&groupCollector{h: h})
 	return m
 }
 
-// gauge registers a gauge whose value is read at each scrape.
-func (m *metrics) gauge(name, help string, read func() float64) {
+// registerGauge registers a gauge whose value is read at each scrape.
+func (m *metrics) registerGauge(name, help string, read func() float64) {
 	m.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Namespace: metricPrefix, Name: name, Help: help,
 	}, read))
 }
 
-// called counts a call by service and outcome.
-func (m *metrics) called(service string, ran fault.Outcome) {
+// countCall counts a call by service and outcome.
+func (m *metrics) countCall(service string, ran fault.Outcome) {
 	m.calls.WithLabelValues(service, string(ran)).Inc()
 }
 
-// count wraps a handler to count its responses by route and status.
-func (m *metrics) count(route string, fn http.HandlerFunc) http.HandlerFunc {
+// countRequests wraps a handler to count its responses by route and status.
+func (m *metrics) countRequests(route string, fn http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		sw := &statusWriter{ResponseWriter: w, status: http.StatusOK}
 		fn(sw, r)
@@ -112,8 +112,8 @@
 
 // Collect implements prometheus.Collector.
 func (c *groupCollector) Collect(ch chan<- prometheus.Metric) {
-	for _, og := range c.h.ownGroups() {
-		d := og.g.Dump()
+	for _, lg := range c.h.localGroups() {
+		d := lg.g.Dump()
 		if d.Epoch == 0 {
 			continue
 		}
--- a/internal/node/entry/remote.go
+++ b/internal/node/entry/remote.go
@@ -23,130 +23,130 @@
 	_ route.Forwarder = (*Host)(nil)
 )
 
-// toOwner sends a request to the owner of a group. If that is this host, it calls
+// callOwner sends a request to the owner of a group. If that is this host, it calls
 // local, otherwise the peer's method m.
-func toOwner[Req, Resp any](
+func callOwner[Req, Resp any](
 	ctx context.Context, h *Host, name string, m frame.Method[Req, Resp], req Req,
 	local func(*owner.Group, context.Context, Req) (Resp, error),
 ) (resp Resp, err error) {
 	defer fault.Note(&err, "group %q", name)
-	if g := h.owned(name); g != nil {
+	if g := h.ownedGroup(name); g != nil {
 		return local(g, ctx, req)
 	}
 	o, ok := h.table.Owner(name)
-	if !ok || o.Host == h.set.Host.ID {
+	if !ok || o.Host == h.settings.Host.ID {
 		return resp, fault.New(fault.NotOwner, fault.NotRun, "no owner is known").WithRetryAfter(1)
 	}
-	return frame.Call(ctx, h.pool, o.Addr, m, req)
+	return frame.Call(ctx, h.peerConns, o.Addr, m, req)
 }
 
-// owned returns the group if this host owns it, or nil.
-func (h *Host) owned(name string) *owner.Group {
+// ownedGroup returns the group if this host owns it, or nil.
+func (h *Host) ownedGroup(name string) *owner.Group {
 	h.mu.Lock()
-	og := h.groups[name]
+	lg := h.groups[name]
 	h.mu.Unlock()
-	if og == nil || og.g.Epoch() == 0 {
+	if lg == nil || lg.g.Epoch() == 0 {
 		return nil
 	}
-	return og.g
+	return lg.g
 }
 
 // Reserve implements owner.Remote.
 func (r *remote) Reserve(ctx context.Context, msg wire.ReserveMsg) (wire.ReserveAnswer, error) {
-	return toOwner(ctx, r.h, msg.Group, wire.Reserve, msg, (*owner.Group).Reserve)
+	return callOwner(ctx, r.h, msg.Group, wire.Reserve, msg, (*owner.Group).Reserve)
 }
 
 // Start implements owner.Remote.
 func (r *remote) Start(ctx context.Context, msg wire.StartMsg) (wire.StartAnswer, error) {
-	return toOwner(ctx, r.h, msg.Group, wire.Start, msg, (*owner.Group).Start)
+	return callOwner(ctx, r.h, msg.Group, wire.Start, msg, (*owner.Group).Start)
 }
 
 // Stop implements owner.Remote.
 func (r *remote) Stop(ctx context.Context, msg wire.StopMsg) error {
-	_, err := toOwner(ctx, r.h, msg.Group, wire.Stop, msg, stopAt)
+	_, err := callOwner(ctx, r.h, msg.Group, wire.Stop, msg, stopLocal)
 	return err
 }
 
-func stopAt(g *owner.Group, ctx context.Context, msg wire.StopMsg) (wire.Empty, error) {
+func stopLocal(g *owner.Group, ctx context.Context, msg wire.StopMsg) (wire.Empty, error) {
 	return wire.Empty{}, g.Stop(ctx, msg)
 }
 
 // Where implements owner.Remote.
 func (r *remote) Where(ctx context.Context, msg wire.WhereMsg) (wire.WhereAnswer, error) {
-	return toOwner(ctx, r.h, msg.Group, wire.Where, msg, (*owner.Group).Where)
+	return callOwner(ctx, r.h, msg.Group, wire.Where, msg, (*owner.Group).Where)
 }
 
 // Report implements owner.Remote.
 func (r *remote) Report(ctx context.Context, msg wire.ReportMsg) (wire.ReportAnswer, error) {
-	return toOwner(ctx, r.h, msg.Group, wire.Report, msg, (*owner.Group).Report)
+	return callOwner(ctx, r.h, msg.Group, wire.Report, msg, (*owner.Group).Report)
 }
 
 // Duties returns the descriptions of the groups that live hosts own.
 func (r *remote) Duties() []wire.Duty {
-	var duties []wire.Duty
+	var groups []wire.Duty
 	for _, m := range r.h.table.Live(r.h.clock.Now()) {
-		duties = append(duties, m.Groups...)
+		groups = append(groups, m.Groups...)
 	}
-	return duties
+	return groups
 }
 
 // MayClaim records the owner that was read from the log, and reports whether the
 // group has no live owner that can write its stream.
 func (r *remote) MayClaim(name string, epoch uint64, holder group.Holder) bool {
 	now := r.h.clock.Now()
-	r.h.table.Note(name, peers.Owner{Host: holder.Host, Addr: holder.Addr, Epoch: epoch}, now)
-	return !r.h.held(name, r.h.eligible(now), now)
+	r.h.table.RecordClaim(name, peers.Owner{Host: holder.Host, Addr: holder.Addr, Epoch: epoch}, now)
+	return !r.h.hasOwner(name, r.h.eligible(now), now)
 }
 
 // Retries of requests while a group has no owner.
 const (
-	ownerRetry = 100 * time.Millisecond
-	ownerWait  = 8 * time.Second // maximum time until the group has an owner
+	ownerRetryInterval = 100 * time.Millisecond
+	maxOwnerWait       = 8 * time.Second // maximum time until the group has an owner
 )
 
-// withOwner retries fn while the group's owner cannot be reached, for up to
-// ownerWait. It retries only if fn certainly had no effect.
-func withOwner[T any](ctx context.Context, fn func(context.Context) (T, error)) (v T, err error) {
-	ctx, cancel := context.WithTimeout(ctx, ownerWait)
+// retryUntilOwner retries fn while the group's owner cannot be reached, for up to
+// maxOwnerWait. It retries only if fn certainly had no effect.
+func retryUntilOwner[T any](ctx context.Context, fn func(context.Context) (T, error)) (v T, err error) {
+	ctx, cancel := context.WithTimeout(ctx, maxOwnerWait)
 	defer cancel()
 	for {
 		v, err = fn(ctx)
-		if err == nil || fault.RanOf(err) != fault.NotRun || !noOwner(err) {
+		if err == nil || fault.RanOf(err) != fault.NotRun || !ownerUnreachable(err) {
 			return v, err
 		}
 		select {
-		case <-time.After(ownerRetry):
+		case <-time.After(ownerRetryInterval):
 		case <-ctx.Done():
 			return v, err
 		}
 	}
 }
 
-// noOwner reports whether err means that the owner could not be reached.
-func noOwner(err error) bool {
+// ownerUnreachable reports whether err means that the owner could not be reached.
+func ownerUnreachable(err error) bool {
 	return fault.Is(err, fault.NotOwner) || fault.Is(err, fault.Unavailable)
 }
 
-// handlers registers the methods that peers call.
-func (h *Host) handlers() {
-	s := h.frames
+// registerHandlers registers the methods that peers call.
+func (h *Host) registerHandlers() {
+	s := h.peerServer
 	frame.Handle(s, wire.Gossip, func(_ context.Context, m wire.GossipMsg) (wire.GossipMsg, error) {
 		return h.table.Merge(m, h.clock.Now()), nil
 	})
-	frame.Handle(s, wire.Cell, func(ctx context.Context, m wire.CellMsg) (wire.CellAnswer, error) {
-		return h.cell.serve(ctx, m)
+	frame.Handle(s, wire.ReadConfig, func(ctx context.Context, m wire.ReadConfigMsg) (wire.ReadConfigAnswer, error) {
+		return h.follower.serveRecords(ctx, m)
 	})
-	handleOwned(h, wire.Submit, func(m wire.SubmitMsg) string { return m.Group }, submitAt)
+	handleOwned(h, wire.Submit, func(m wire.SubmitMsg) string { return m.Group }, submitLocal)
 	handleOwned(h, wire.Status, func(m wire.StatusMsg) string { return groupOfJob(m.Job) }, (*owner.Group).Status)
-	handleOwned(h, wire.Cancel, func(m wire.CancelMsg) string { return groupOfJob(m.Job) }, cancelAt)
+	handleOwned(h, wire.Cancel, func(m wire.CancelMsg) string { return groupOfJob(m.Job) }, cancelLocal)
 	handleOwned(h, wire.Settle, func(m wire.SettleMsg) string { return groupOfJob(m.Ref.Job) }, (*owner.Group).Settle)
 	handleOwned(h, wire.List, func(m wire.ListMsg) string { return m.Group }, (*owner.Group).List)
 	handleOwned(h, wire.Reserve, func(m wire.ReserveMsg) string { return m.Group }, (*owner.Group).Reserve)
 	handleOwned(h, wire.Start, func(m wire.StartMsg) string { return m.Group }, (*owner.Group).Start)
-	handleOwned(h, wire.Stop, func(m wire.StopMsg) string { return m.Group }, stopAt)
+	handleOwned(h, wire.Stop, func(m wire.StopMsg) string { return m.Group }, stopLocal)
 	handleOwned(h, wire.Where, func(m wire.WhereMsg) string { return m.Group }, (*owner.Group).Where)
 	handleOwned(h, wire.Report, func(m wire.ReportMsg) string { return m.Group }, (*owner.Group).Report)
-	handleOwned(h, wire.Once, func(m wire.CallMsg) string { return m.Group }, h.onceAt)
+	handleOwned(h, wire.Once, func(m wire.CallMsg) string { return m.Group }, h.onceLocal)
 	frame.Handle(s, wire.Serve, h.serveLocal)
 }
 
@@ -156,18 +156,18 @@
 	h *Host, m frame.Method[Req, Resp], name func(Req) string,
 	fn func(*owner.Group, context.Context, Req) (Resp, error),
 ) {
-	frame.Handle(h.frames, m, func(ctx context.Context, req Req) (resp Resp, err error) {
-		defer h.enter()()
-		g := h.owned(name(req))
+	frame.Handle(h.peerServer, m, func(ctx context.Context, req Req) (resp Resp, err error) {
+		defer h.trackRequest()()
+		g := h.ownedGroup(name(req))
 		if g == nil {
-			return resp, fault.New(fault.NotOwner, fault.NotRun, "host %q does not own group %q", h.set.Host.ID, name(req))
+			return resp, fault.New(fault.NotOwner, fault.NotRun, "host %q does not own group %q", h.settings.Host.ID, name(req))
 		}
 		return fn(g, ctx, req)
 	})
 }
 
-// enter counts a request as in flight and returns the function that ends it.
-func (h *Host) enter() func() {
+// trackRequest counts a request as in flight and returns the function that ends it.
+func (h *Host) trackRequest() func() {
 	h.mu.Lock()
 	h.inFlight++
 	h.mu.Unlock()
@@ -184,15 +184,15 @@
 	return name
 }
 
-func submitAt(g *owner.Group, ctx context.Context, m wire.SubmitMsg) (jobs.Job, error) {
+func submitLocal(g *owner.Group, ctx context.Context, m wire.SubmitMsg) (jobs.Job, error) {
 	return g.Submit(ctx, m.Spec)
 }
 
-func cancelAt(g *owner.Group, ctx context.Context, m wire.CancelMsg) (jobs.Job, error) {
+func cancelLocal(g *owner.Group, ctx context.Context, m wire.CancelMsg) (jobs.Job, error) {
 	return g.Cancel(ctx, m.Job)
 }
 
-func (h *Host) onceAt(g *owner.Group, ctx context.Context, m wire.CallMsg) (wire.CallAnswer, error) {
+func (h *Host) onceLocal(g *owner.Group, ctx context.Context, m wire.CallMsg) (wire.CallAnswer, error) {
 	return g.Once(ctx, m, dispatcher{h.router})
 }
 
@@ -208,9 +208,9 @@
 	return d.r.Call(ctx, msg)
 }
 
-// ownPools returns the pools that this host serves: those for which it is the most
-// preferred live host.
-func (h *Host) ownPools() []wire.Pool {
+// servedPools returns the pools that this host serves: those for which it is the
+// most preferred live host.
+func (h *Host) servedPools() []wire.Pool {
 	live := h.table.Live(h.clock.Now())
 	h.mu.Lock()
 	pools := make([]*route.Pool, 0, len(h.pools))
@@ -221,7 +221,7 @@
 	var list []wire.Pool
 	for _, p := range pools {
 		w := p.Load()
-		if order := peers.Order(w.Group, w.Az, live); len(order) > 0 && order[0].ID == h.set.Host.ID {
+		if order := peers.PreferenceOrder(w.Group, w.Az, live); len(order) > 0 && order[0].ID == h.settings.Host.ID {
 			list = append(list, w)
 		}
 	}
@@ -245,10 +245,10 @@
 			if p.Group != msg.Group || p.Service != msg.Service {
 				continue
 			}
-			if m.ID == h.set.Host.ID {
+			if m.ID == h.settings.Host.ID {
 				return h.serveLocal(ctx, msg)
 			}
-			return frame.Call(ctx, h.pool, m.Addr, wire.Serve, msg)
+			return frame.Call(ctx, h.peerConns, m.Addr, wire.Serve, msg)
 		}
 	}
 	return wire.CallAnswer{}, fault.New(fault.Unavailable, fault.NotRun, "no host serves group %q", msg.Group)
@@ -256,12 +256,12 @@
 
 // serveLocal sends a call to a target of one of this host's pools.
 func (h *Host) serveLocal(ctx context.Context, msg wire.CallMsg) (wire.CallAnswer, error) {
-	defer h.enter()()
+	defer h.trackRequest()()
 	h.mu.Lock()
 	p := h.pools[poolKey{group: msg.Group, service: msg.Service}]
 	h.mu.Unlock()
 	if p == nil {
-		return wire.CallAnswer{}, fault.New(fault.Unavailable, fault.NotRun, "host %q has no targets of group %q", h.set.Host.ID, msg.Group)
+		return wire.CallAnswer{}, fault.New(fault.Unavailable, fault.NotRun, "host %q has no targets of group %q", h.settings.Host.ID, msg.Group)
 	}
 	return p.Serve(ctx, msg)
 }
--- a/internal/node/entry/settings.go
+++ b/internal/node/entry/settings.go
@@ -62,31 +62,31 @@
 // Check returns errors that depend on several keys, and invalid addresses and URLs.
 func (s Settings) Check() error {
 	var errs []error
-	bad := func(section, key string, value any, format string, args ...any) {
+	addError := func(section, key string, value any, format string, args ...any) {
 		errs = append(errs, &conf.Error{Section: section, Key: key, Value: fmt.Sprint(value), Want: fmt.Sprintf(format, args...)})
 	}
 	if s.Timing.Lease < minRenewalsInLease*s.Timing.Renew {
-		bad("timing", "lease", s.Timing.Lease, "must be at least %d times renew, which is %s", minRenewalsInLease, s.Timing.Renew)
+		addError("timing", "lease", s.Timing.Lease, "must be at least %d times renew, which is %s", minRenewalsInLease, s.Timing.Renew)
 	}
 	if s.Timing.SuspectAfter < 3*s.Timing.Gossip {
-		bad("timing", "suspectAfter", s.Timing.SuspectAfter, "must be at least 3 times gossip, which is %s", s.Timing.Gossip)
+		addError("timing", "suspectAfter", s.Timing.SuspectAfter, "must be at least 3 times gossip, which is %s", s.Timing.Gossip)
 	}
 	if s.Host.Listen == s.Host.Peer {
-		bad("host", "peer", s.Host.Peer, "must differ from listen")
+		addError("host", "peer", s.Host.Peer, "must differ from listen")
 	}
 	for key, addr := range map[string]string{"listen": s.Host.Listen, "peer": s.Host.Peer} {
 		if !isAddr(addr) {
-			bad("host", key, addr, "must have the form IP:port with a numeric IP")
+			addError("host", key, addr, "must have the form IP:port with a numeric IP")
 		}
 	}
 	for _, addr := range s.Host.Peers {
 		if !isAddr(addr) {
-			bad("host", "peers", addr, "must have the form IP:port with a numeric IP")
+			addError("host", "peers", addr, "must have the form IP:port with a numeric IP")
 		}
 	}
 	for _, u := range append([]string{s.Platform.Log}, s.Platform.HostLists...) {
 		if p, err := url.Parse(u); err != nil || p.Scheme != "http" || p.Host == "" {
-			bad("platform", "log, hostLists", u, "must be a URL such as http://10.0.0.9:7000")
+			addError("platform", "log, hostLists", u, "must be a URL such as http://10.0.0.9:7000")
 		}
 	}
 	return errors.Join(errs...)
@@ -98,8 +98,8 @@
 	return err == nil && net.ParseIP(host) != nil && port != ""
 }
 
-// owner returns the settings of a group's timing.
-func (s Settings) owner() owner.Timing {
+// groupTiming returns the settings of a group's timing.
+func (s Settings) groupTiming() owner.Timing {
 	t := owner.DefaultTiming()
 	t.Commit, t.Renew, t.Lease, t.Margin = s.Timing.Commit, s.Timing.Renew, s.Timing.Lease, s.Timing.Margin
 	t.Keep, t.Snapshot = s.Timing.Keep, s.Timing.Snapshot
--- a/internal/node/peers/peers.go
+++ b/internal/node/peers/peers.go
@@ -11,13 +11,13 @@
 // Heartbeats change at every interval and are kept apart from the member
 // descriptions. An exchange carries all heartbeats, but only those descriptions
 // that the other side lacks. A description changes at most once per
-// DescribeEvery, unless the groups, the number of pools or the leaving flag of
+// MinDescriptionInterval, unless the groups, the number of pools or the leaving flag of
 // its host change.
 //
 // # Usage
 //
 //	t := peers.NewTable(peers.Config{Self: member, SuspectAfter: 2 * time.Second})
-//	t.Beat(peers.Report{Member: m, CellNext: next}, now)
+//	t.AdvanceHeartbeat(peers.LocalState{Member: m, ConfigNext: next}, now)
 //	answer := t.Merge(msg, now)
 //	owner, ok := t.Owner("az1-0")
 package peers
@@ -36,10 +36,10 @@
 
 // Config describes a Table.
 type Config struct {
-	Self          wire.Member
-	SuspectAfter  time.Duration // time without a new heartbeat after which a member counts as dead
-	ForgetAfter   time.Duration // time without a new heartbeat after which a member is removed
-	DescribeEvery time.Duration // minimum interval between two descriptions when only the load changes
+	Self                   wire.Member
+	SuspectAfter           time.Duration // time without a new heartbeat after which a member counts as dead
+	ForgetAfter            time.Duration // time without a new heartbeat after which a member is removed
+	MinDescriptionInterval time.Duration // minimum interval between two descriptions when only the load changes
 }
 
 // Table is the membership table of one entry host. It is safe for concurrent use.
@@ -48,18 +48,18 @@
 
 	mu          sync.Mutex
 	self        wire.Member
-	beat        wire.Beat
+	heartbeat   wire.Heartbeat
 	describedAt time.Time
-	members     map[string]*seen // by id, without self
-	owners      map[string]Owner // by group
+	members     map[string]*memberState // by id, without self
+	owners      map[string]Owner        // by group
 }
 
-// seen is another host's description and newest heartbeat, with the local time at
-// which the heartbeat was received.
-type seen struct {
-	m    wire.Member
-	beat wire.Beat
-	at   time.Time
+// memberState is another host's description and newest heartbeat, with the local time
+// at which the heartbeat was received.
+type memberState struct {
+	m          wire.Member
+	heartbeat  wire.Heartbeat
+	receivedAt time.Time
 }
 
 // Owner is the newest known owner of a group.
@@ -68,60 +68,60 @@
 	Addr  string
 	Epoch uint64
 
-	notedAt time.Time // when the claim was read from the log; zero if the owner announced itself
+	claimReadAt time.Time // when the claim was read from the log; zero if the owner announced itself
 }
 
 // Peer is a live member with its newest heartbeat. LogAge includes the time since
 // the heartbeat was received.
 type Peer struct {
 	wire.Member
-	CellNext int64         `json:"cellNext"` // next offset that it will read from the configuration stream
-	LogAge   time.Duration `json:"logAgeNs"` // time since it last read the end of the configuration stream from the log
+	ConfigNext int64         `json:"cellNext"` // next offset that it will read from the configuration stream
+	LogAge     time.Duration `json:"logAgeNs"` // time since it last read the end of the configuration stream from the log
 }
 
-// Report is the state of the local host that a heartbeat carries.
-type Report struct {
-	Member   wire.Member   // ID, Az, Boot, Version and the addresses are ignored
-	CellNext int64         // next offset to read from the configuration stream
-	LogAge   time.Duration // time since this host last read the end of the configuration stream from the log
+// LocalState is the state of the local host that a heartbeat carries.
+type LocalState struct {
+	Member     wire.Member   // ID, Az, Boot, Version and the addresses are ignored
+	ConfigNext int64         // next offset to read from the configuration stream
+	LogAge     time.Duration // time since this host last read the end of the configuration stream from the log
 }
 
 // NewTable returns a table that contains only the local host.
 func NewTable(cfg Config) *Table {
-	t := &Table{cfg: cfg, self: cfg.Self, members: map[string]*seen{}, owners: map[string]Owner{}}
+	t := &Table{cfg: cfg, self: cfg.Self, members: map[string]*memberState{}, owners: map[string]Owner{}}
 	t.self.Version = 1 // 0 means that no description was received
-	t.beat = wire.Beat{ID: cfg.Self.ID, Boot: cfg.Self.Boot, Version: t.self.Version}
+	t.heartbeat = wire.Heartbeat{ID: cfg.Self.ID, Boot: cfg.Self.Boot, Version: t.self.Version}
 	return t
 }
 
-// Beat increments the local heartbeat, updates the local description and removes
-// members without a new heartbeat for longer than ForgetAfter.
-func (t *Table) Beat(r Report, now time.Time) {
+// AdvanceHeartbeat increments the local heartbeat, updates the local description and
+// removes members without a new heartbeat for longer than ForgetAfter.
+func (t *Table) AdvanceHeartbeat(r LocalState, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.beat.Beat++
-	t.beat.CellNext, t.beat.LogAgeMs = r.CellNext, r.LogAge.Milliseconds()
-	t.describe(r.Member, now)
+	t.heartbeat.Seq++
+	t.heartbeat.ConfigNext, t.heartbeat.LogAgeMs = r.ConfigNext, r.LogAge.Milliseconds()
+	t.updateDescription(r.Member, now)
 	for id, s := range t.members {
-		if now.Sub(s.at) > t.cfg.ForgetAfter {
+		if now.Sub(s.receivedAt) > t.cfg.ForgetAfter {
 			delete(t.members, id)
 		}
 	}
 }
 
-// describe replaces the description of the local host if an update is due. The
+// updateDescription replaces the description of the local host if an update is due. The
 // caller must hold t.mu.
-func (t *Table) describe(m wire.Member, now time.Time) {
+func (t *Table) updateDescription(m wire.Member, now time.Time) {
 	m.ID, m.Addr, m.API, m.Az = t.self.ID, t.self.Addr, t.self.API, t.self.Az
 	m.Boot, m.Version = t.self.Boot, t.self.Version
-	due := now.Sub(t.describedAt) >= t.cfg.DescribeEvery && !reflect.DeepEqual(m, t.self)
+	due := now.Sub(t.describedAt) >= t.cfg.MinDescriptionInterval && !reflect.DeepEqual(m, t.self)
 	if !due && m.Leaving == t.self.Leaving && sameEpochs(m.Groups, t.self.Groups) && len(m.Pools) == len(t.self.Pools) {
 		return
 	}
 	m.Version++
 	t.self, t.describedAt = m, now
-	t.beat.Version = m.Version
-	t.learn(m)
+	t.heartbeat.Version = m.Version
+	t.recordOwners(m)
 }
 
 // sameEpochs reports whether a and b list the same groups with the same epochs.
@@ -154,7 +154,7 @@
 func (t *Table) Message(addr string, now time.Time) wire.GossipMsg {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	msg := wire.GossipMsg{Beats: t.beats(now)}
+	msg := wire.GossipMsg{Heartbeats: t.liveHeartbeats(now)}
 	for _, s := range t.members {
 		if s.m.Addr == addr {
 			return msg
@@ -169,26 +169,26 @@
 func (t *Table) Announcement() wire.GossipMsg {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return wire.GossipMsg{Beats: []wire.Beat{t.beat}, Members: []wire.Member{t.self}}
+	return wire.GossipMsg{Heartbeats: []wire.Heartbeat{t.heartbeat}, Members: []wire.Member{t.self}}
 }
 
-// beats returns the heartbeats of the live members. Those of dead members are left
-// out, otherwise they would circulate forever. The caller must hold t.mu.
-func (t *Table) beats(now time.Time) []wire.Beat {
-	beats := []wire.Beat{t.beat}
+// liveHeartbeats returns the heartbeats of the live members. Those of dead members are left
+// out, because otherwise they would circulate forever. The caller must hold t.mu.
+func (t *Table) liveHeartbeats(now time.Time) []wire.Heartbeat {
+	beats := []wire.Heartbeat{t.heartbeat}
 	for _, s := range t.members {
 		if t.alive(s, now) {
-			beats = append(beats, s.present(now))
+			beats = append(beats, s.current(now))
 		}
 	}
 	return beats
 }
 
-// present returns the heartbeat with LogAgeMs increased by the time since it was
+// current returns the heartbeat with LogAgeMs increased by the time since it was
 // received.
-func (s *seen) present(now time.Time) wire.Beat {
-	b := s.beat
-	b.LogAgeMs += now.Sub(s.at).Milliseconds()
+func (s *memberState) current(now time.Time) wire.Heartbeat {
+	b := s.heartbeat
+	b.LogAgeMs += now.Sub(s.receivedAt).Milliseconds()
 	return b
 }
 
@@ -198,36 +198,36 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, m := range msg.Members {
-		t.takeMember(m, now)
+		t.mergeMember(m, now)
 	}
-	known := map[string]wire.Beat{}
-	for _, b := range msg.Beats {
+	known := map[string]wire.Heartbeat{}
+	for _, b := range msg.Heartbeats {
 		known[b.ID] = b
-		t.takeBeat(b, now)
+		t.mergeHeartbeat(b, now)
 	}
 	var answer wire.GossipMsg
-	add := func(m wire.Member, b wire.Beat) {
+	add := func(m wire.Member, b wire.Heartbeat) {
 		k := known[b.ID]
 		if b.Newer(k) {
-			answer.Beats = append(answer.Beats, b)
+			answer.Heartbeats = append(answer.Heartbeats, b)
 		}
 		if b.Boot > k.Boot || m.Version > k.Version {
 			answer.Members = append(answer.Members, m)
 		}
 	}
-	add(t.self, t.beat)
+	add(t.self, t.heartbeat)
 	for _, s := range t.members {
 		if t.alive(s, now) {
-			add(s.m, s.present(now))
+			add(s.m, s.current(now))
 		}
 	}
 	return answer
 }
 
-// takeMember stores a description, unless the table has the same or a newer one. A
+// mergeMember stores a description, unless the table has the same or a newer one. A
 // member that is new to the table or has restarted counts as alive from now. The
 // caller must hold t.mu.
-func (t *Table) takeMember(m wire.Member, now time.Time) {
+func (t *Table) mergeMember(m wire.Member, now time.Time) {
 	if m.ID == t.self.ID {
 		return
 	}
@@ -236,27 +236,27 @@
 		return
 	}
 	if s == nil || m.Boot > s.m.Boot {
-		s = &seen{at: now, beat: wire.Beat{ID: m.ID, Boot: m.Boot}}
+		s = &memberState{receivedAt: now, heartbeat: wire.Heartbeat{ID: m.ID, Boot: m.Boot}}
 		t.members[m.ID] = s
 	}
-	s.m, s.beat.Version = m, m.Version
-	t.learn(m)
+	s.m, s.heartbeat.Version = m, m.Version
+	t.recordOwners(m)
 }
 
-// takeBeat stores a heartbeat if it is newer and the description of its member is
+// mergeHeartbeat stores a heartbeat if it is newer and the description of its member is
 // in the table. The caller must hold t.mu.
-func (t *Table) takeBeat(b wire.Beat, now time.Time) {
+func (t *Table) mergeHeartbeat(b wire.Heartbeat, now time.Time) {
 	s := t.members[b.ID]
-	if s == nil || b.Boot != s.m.Boot || !b.Newer(s.beat) {
+	if s == nil || b.Boot != s.m.Boot || !b.Newer(s.heartbeat) {
 		return
 	}
 	b.Version = s.m.Version
-	s.beat, s.at = b, now
+	s.heartbeat, s.receivedAt = b, now
 }
 
-// learn records the member as the owner of its groups. The highest epoch wins,
+// recordOwners records the member as the owner of its groups. The highest epoch wins,
 // because each epoch has exactly one owner. The caller must hold t.mu.
-func (t *Table) learn(m wire.Member) {
+func (t *Table) recordOwners(m wire.Member) {
 	for _, d := range m.Groups {
 		if o, ok := t.owners[d.Group]; !ok || d.Epoch >= o.Epoch {
 			t.owners[d.Group] = Owner{Host: m.ID, Addr: m.Addr, Epoch: d.Epoch}
@@ -265,18 +265,20 @@
 }
 
 // alive reports whether the member's newest heartbeat is recent enough.
-func (t *Table) alive(s *seen, now time.Time) bool { return now.Sub(s.at) <= t.cfg.SuspectAfter }
+func (t *Table) alive(s *memberState, now time.Time) bool {
+	return now.Sub(s.receivedAt) <= t.cfg.SuspectAfter
+}
 
-// Note records a group's owner as read from the log, unless a newer epoch is
-// recorded. A host that has just claimed a group has not announced it yet, so
-// Holds reports it as a live owner for SuspectAfter/2.
-func (t *Table) Note(group string, o Owner, now time.Time) {
+// RecordClaim records a group's owner as read from the log, unless the same or a newer
+// epoch is recorded already. A host that has just claimed a group has not announced it yet, so
+// HasLiveOwner returns true for the group during SuspectAfter/2.
+func (t *Table) RecordClaim(group string, o Owner, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if old, ok := t.owners[group]; ok && old.Epoch >= o.Epoch {
 		return
 	}
-	o.notedAt = now
+	o.claimReadAt = now
 	t.owners[group] = o
 }
 
@@ -294,32 +296,32 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var list []Peer
-	add := func(m wire.Member, b wire.Beat) {
+	add := func(m wire.Member, b wire.Heartbeat) {
 		if !m.Leaving {
-			list = append(list, Peer{Member: m, CellNext: b.CellNext, LogAge: time.Duration(b.LogAgeMs) * time.Millisecond})
+			list = append(list, Peer{Member: m, ConfigNext: b.ConfigNext, LogAge: time.Duration(b.LogAgeMs) * time.Millisecond})
 		}
 	}
-	add(t.self, t.beat)
+	add(t.self, t.heartbeat)
 	for _, s := range t.members {
 		if t.alive(s, now) {
-			add(s.m, s.present(now))
+			add(s.m, s.current(now))
 		}
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].ID < list[j].ID })
 	return list
 }
 
-// Holds reports whether the group has a live owner: a live member, leaving or not,
+// HasLiveOwner reports whether the group has a live owner: a live member, leaving or not,
 // that lists the group at the newest known epoch, or a host whose claim was read
 // from the log no longer than SuspectAfter/2 ago.
-func (t *Table) Holds(group string, now time.Time) bool {
+func (t *Table) HasLiveOwner(group string, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	o, ok := t.owners[group]
 	if !ok {
 		return false
 	}
-	if now.Sub(o.notedAt) <= t.cfg.SuspectAfter/2 {
+	if now.Sub(o.claimReadAt) <= t.cfg.SuspectAfter/2 {
 		return true
 	}
 	m := t.self
@@ -338,51 +340,51 @@
 	return false
 }
 
-// Silence summarizes the state of the other members that are not leaving: whether
+// PeerSummary summarizes the state of the other members that are not leaving: whether
 // any of them is suspected dead, the lowest LogAge of the live ones, and the number
-// of live ones. Without live ones, freshest is the maximum duration.
-func (t *Table) Silence(now time.Time) (silent bool, freshest time.Duration, heard int) {
+// of live ones. Without live ones, minLogAge is the maximum duration.
+func (t *Table) PeerSummary(now time.Time) (suspected bool, minLogAge time.Duration, live int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	freshest = time.Duration(1<<63 - 1)
+	minLogAge = time.Duration(1<<63 - 1)
 	for _, s := range t.members {
 		if s.m.Leaving {
 			continue
 		}
 		if !t.alive(s, now) {
-			silent = true
+			suspected = true
 			continue
 		}
-		heard++
-		freshest = min(freshest, time.Duration(s.present(now).LogAgeMs)*time.Millisecond)
+		live++
+		minLogAge = min(minLogAge, time.Duration(s.current(now).LogAgeMs)*time.Millisecond)
 	}
-	return silent, freshest, heard
+	return suspected, minLogAge, live
 }
 
-// Pick returns the addresses of up to n random live members, excluding the local
+// PickLive returns the addresses of up to n random live members, excluding the local
 // host.
-func (t *Table) Pick(n int, r *rand.Rand, now time.Time) []string {
-	return t.pick(n, r, func(s *seen) bool { return t.alive(s, now) })
+func (t *Table) PickLive(n int, r *rand.Rand, now time.Time) []string {
+	return t.pick(n, r, func(s *memberState) bool { return t.alive(s, now) })
 }
 
-// silentOdds is the number of rounds per contact attempt with a suspected member,
+// suspectContactOdds is the number of rounds per contact attempt with a suspected member,
 // on average.
-const silentOdds = 8
-
-// Partners returns the addresses of the members to exchange messages with in one
-// round: a random live member and, in one of silentOdds rounds or if no member is
-// alive, a random suspected one. Otherwise the two sides of a network partition
-// would not find each other again after it has healed.
-func (t *Table) Partners(r *rand.Rand, now time.Time) []string {
-	addrs := t.Pick(1, r, now)
-	if len(addrs) == 0 || r.IntN(silentOdds) == 0 {
-		addrs = append(addrs, t.pick(1, r, func(s *seen) bool { return !t.alive(s, now) })...)
+const suspectContactOdds = 8
+
+// GossipPartners returns the addresses of the members to exchange messages with in one
+// round: a random live member and, in one of suspectContactOdds rounds or if no member is
+// alive, a random suspected one. Without the suspected ones, the two sides of a network
+// partition would not find each other again after it has healed.
+func (t *Table) GossipPartners(r *rand.Rand, now time.Time) []string {
+	addrs := t.PickLive(1, r, now)
+	if len(addrs) == 0 || r.IntN(suspectContactOdds) == 0 {
+		addrs = append(addrs, t.pick(1, r, func(s *memberState) bool { return !t.alive(s, now) })...)
 	}
 	return addrs
 }
 
 // pick returns the addresses of up to n random members that match.
-func (t *Table) pick(n int, r *rand.Rand, match func(*seen) bool) []string {
+func (t *Table) pick(n int, r *rand.Rand, match func(*memberState) bool) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var addrs []string
@@ -396,10 +398,10 @@
 	return addrs[:min(n, len(addrs))]
 }
 
-// Order returns the members in order of preference as owners of the group: those in
-// the group's availability zone first, then the others, each sorted by rendezvous
+// PreferenceOrder returns the members in order of preference as owners of the group:
+// those in the group's availability zone first, then the others, each sorted by rendezvous
 // hash. When a host fails, only the groups that it owned move.
-func Order(group, az string, live []Peer) []Peer {
+func PreferenceOrder(group, az string, live []Peer) []Peer {
 	type ranked struct {
 		m     Peer
 		local bool
--- a/internal/node/peers/peers_test.go
+++ b/internal/node/peers/peers_test.go
@@ -12,30 +12,30 @@
 )
 
 const (
-	suspectAfter  = 2 * time.Second
-	describeEvery = time.Second
-	interval      = 250 * time.Millisecond
+	suspectAfter           = 2 * time.Second
+	minDescriptionInterval = time.Second
+	interval               = 250 * time.Millisecond
 )
 
-// net simulates a cluster: it contains a table for each host, which exchange messages
-// in rounds.
-type net struct {
-	now    time.Time
-	tables []*Table
-	dead   map[int]bool
-	r      *rand.Rand
-	bodies int // number of descriptions exchanged
-	split  int // hosts with a lower index are partitioned from the others; 0 for no partition
+// testNetwork simulates a cluster: it contains a table for each host, and the tables
+// exchange messages in rounds.
+type testNetwork struct {
+	now          time.Time
+	tables       []*Table
+	dead         map[int]bool
+	r            *rand.Rand
+	descriptions int // number of descriptions exchanged
+	split        int // hosts with a lower index are partitioned from the others; 0 for no partition
 }
 
 func addrOf(i int) string { return fmt.Sprintf("10.0.0.%d:1", i) }
 
-func newNet(n int) *net {
-	w := &net{now: time.Unix(1000, 0), dead: map[int]bool{}, r: rand.New(rand.NewPCG(1, 2))}
+func newTestNetwork(n int) *testNetwork {
+	w := &testNetwork{now: time.Unix(1000, 0), dead: map[int]bool{}, r: rand.New(rand.NewPCG(1, 2))}
 	for i := range n {
 		w.tables = append(w.tables, NewTable(Config{
 			Self:         wire.Member{ID: fmt.Sprint("e", i), Addr: addrOf(i), Az: fmt.Sprint("az", i%3), Boot: 1},
-			SuspectAfter: suspectAfter, ForgetAfter: time.Minute, DescribeEvery: describeEvery,
+			SuspectAfter: suspectAfter, ForgetAfter: time.Minute, MinDescriptionInterval: minDescriptionInterval,
 		}))
 	}
 	return w
@@ -44,14 +44,14 @@
 // round advances the clock by one interval. Every live host increments its heartbeat
 // and exchanges messages with its gossip partners, or with the first host if it has
 // none.
-func (w *net) round() {
+func (w *testNetwork) round() {
 	w.now = w.now.Add(interval)
 	for i, t := range w.tables {
 		if w.dead[i] {
 			continue
 		}
-		t.Beat(Report{Member: wire.Member{Groups: t.Self().Groups}}, w.now)
-		addrs := t.Partners(w.r, w.now)
+		t.AdvanceHeartbeat(LocalState{Member: wire.Member{Groups: t.Self().Groups}}, w.now)
+		addrs := t.GossipPartners(w.r, w.now)
 		if len(addrs) == 0 && i > 0 {
 			addrs = []string{addrOf(0)}
 		}
@@ -63,20 +63,20 @@
 
 // exchange exchanges messages between t and the host at addr, if the host is alive and
 // reachable.
-func (w *net) exchange(t *Table, addr string) {
+func (w *testNetwork) exchange(t *Table, addr string) {
 	for j, peer := range w.tables {
-		if addrOf(j) != addr || w.dead[j] || w.apart(t, peer) {
+		if addrOf(j) != addr || w.dead[j] || w.partitioned(t, peer) {
 			continue
 		}
 		msg := t.Message(addr, w.now)
 		answer := peer.Merge(msg, w.now)
 		t.Merge(answer, w.now)
-		w.bodies += len(msg.Members) + len(answer.Members)
+		w.descriptions += len(msg.Members) + len(answer.Members)
 	}
 }
 
-// apart reports whether a and b are on different sides of the partition.
-func (w *net) apart(a, b *Table) bool {
+// partitioned reports whether a and b are on different sides of the partition.
+func (w *testNetwork) partitioned(a, b *Table) bool {
 	var low, high bool
 	for i, t := range w.tables {
 		if t == a || t == b {
@@ -92,7 +92,7 @@
 // TestCutOffHost.
 func TestHealedSplit(t *testing.T) {
 	for _, split := range []int{1, 2, 4} {
-		w := newNet(8)
+		w := newTestNetwork(8)
 		for range 20 {
 			w.round()
 		}
@@ -114,53 +114,53 @@
 // TestSpread checks that all hosts discover each other through one seed host, and that
 // afterwards only heartbeats are exchanged and no descriptions.
 func TestSpread(t *testing.T) {
-	w := newNet(40)
+	w := newTestNetwork(40)
 	rounds := 0
-	for full := false; !full; rounds++ {
+	for complete := false; !complete; rounds++ {
 		w.round()
-		full = true
+		complete = true
 		for _, tab := range w.tables {
-			full = full && len(tab.Live(w.now)) == 40
+			complete = complete && len(tab.Live(w.now)) == 40
 		}
 		assert.Assert(t, rounds < 20, "not all hosts discovered after %d rounds", rounds)
 	}
 	for range 20 {
 		w.round()
 	}
-	w.bodies = 0
+	w.descriptions = 0
 	for range 20 {
 		w.round()
 		for _, tab := range w.tables {
 			assert.Equal(t, len(tab.Live(w.now)), 40, "a live host counts as dead")
 		}
 	}
-	assert.Equal(t, w.bodies, 0)
+	assert.Equal(t, w.descriptions, 0)
 }
 
 // TestDeath checks that all hosts detect a dead host within SuspectAfter and the rounds
 // that gossip needs, and accept the host again after a restart with a higher Boot.
 func TestDeath(t *testing.T) {
-	w := newNet(8)
+	w := newTestNetwork(8)
 	for range 20 {
 		w.round()
 	}
 	w.dead[3] = true
 	died := w.now
-	for gone := false; !gone; {
+	for detected := false; !detected; {
 		w.round()
-		gone = true
+		detected = true
 		for i, tab := range w.tables {
-			gone = gone && (w.dead[i] || len(tab.Live(w.now)) == 7)
+			detected = detected && (w.dead[i] || len(tab.Live(w.now)) == 7)
 		}
 		assert.Assert(t, w.now.Sub(died) < suspectAfter+10*interval, "not detected after %s", w.now.Sub(died))
 	}
-	silent, _, heard := w.tables[0].Silence(w.now)
+	silent, _, heard := w.tables[0].PeerSummary(w.now)
 	assert.Assert(t, silent)
 	assert.Equal(t, heard, 6)
 	w.dead[3] = false
 	w.tables[3] = NewTable(Config{
 		Self:         wire.Member{ID: "e3", Addr: addrOf(3), Boot: 2},
-		SuspectAfter: suspectAfter, ForgetAfter: time.Minute, DescribeEvery: describeEvery,
+		SuspectAfter: suspectAfter, ForgetAfter: time.Minute, MinDescriptionInterval: minDescriptionInterval,
 	})
 	for range 20 {
 		w.round()
@@ -174,7 +174,7 @@
 // of messages, and that an owner that was read from the log counts as live for a
 // limited time without announcing itself.
 func TestOwners(t *testing.T) {
-	w := newNet(1)
+	w := newTestNetwork(1)
 	tab := w.tables[0]
 	duty := func(epoch uint64) []wire.Duty { return []wire.Duty{{Group: "g", Epoch: epoch}} }
 	tab.Merge(wire.GossipMsg{Members: []wire.Member{{ID: "x", Addr: "x:1", Boot: 1, Version: 1, Groups: duty(5)}}}, w.now)
@@ -182,21 +182,21 @@
 	o, ok := tab.Owner("g")
 	assert.Assert(t, ok)
 	assert.Equal(t, o.Host, "x")
-	assert.Assert(t, tab.Holds("g", w.now))
+	assert.Assert(t, tab.HasLiveOwner("g", w.now))
 	later := w.now.Add(suspectAfter + time.Millisecond)
-	assert.Assert(t, !tab.Holds("g", later), "an owner without heartbeats counts as live")
-	tab.Note("g", Owner{Host: "z", Addr: "z:1", Epoch: 6}, later)
-	assert.Assert(t, tab.Holds("g", later))
-	tab.Note("g", Owner{Host: "old", Epoch: 5}, later)
+	assert.Assert(t, !tab.HasLiveOwner("g", later), "an owner without heartbeats counts as live")
+	tab.RecordClaim("g", Owner{Host: "z", Addr: "z:1", Epoch: 6}, later)
+	assert.Assert(t, tab.HasLiveOwner("g", later))
+	tab.RecordClaim("g", Owner{Host: "old", Epoch: 5}, later)
 	o, _ = tab.Owner("g")
 	assert.Equal(t, o.Host, "z")
-	assert.Assert(t, !tab.Holds("g", later.Add(suspectAfter)), "an owner that never announced itself still counts as live")
+	assert.Assert(t, !tab.HasLiveOwner("g", later.Add(suspectAfter)), "an owner that never announced itself still counts as live")
 }
 
 // TestOrder checks that hosts in the group's availability zone come first, and that the
 // failure of a host moves only its own groups.
 func TestOrder(t *testing.T) {
-	w := newNet(9)
+	w := newTestNetwork(9)
 	for range 20 {
 		w.round()
 	}
@@ -204,10 +204,10 @@
 	rest := append(append([]Peer(nil), live[:4]...), live[5:]...)
 	for i := range 50 {
 		name, az := fmt.Sprint("g", i), fmt.Sprint("az", i%3)
-		order := Order(name, az, live)
+		order := PreferenceOrder(name, az, live)
 		assert.Equal(t, order[0].Az, az)
 		if order[0].ID != live[4].ID {
-			assert.Equal(t, Order(name, az, rest)[0].ID, order[0].ID)
+			assert.Equal(t, PreferenceOrder(name, az, rest)[0].ID, order[0].ID)
 		}
 	}
 }
--- a/internal/node/route/pool.go
+++ b/internal/node/route/pool.go
@@ -45,34 +45,34 @@
 type Pool struct {
 	cfg PoolConfig
 
-	mu      sync.Mutex
-	targets map[string]*member
-	waiting []chan *member // queued calls, oldest first; closed when the pool closes
-	taken   uint64         // number of slots acquired since the start
-	busy    int            // slots in use
-	closed  bool
+	mu       sync.Mutex
+	targets  map[string]*poolTarget
+	queue    []chan *poolTarget // channels of the queued calls, oldest first; Close closes them
+	acquired uint64             // number of slots acquired since the start
+	busy     int                // slots in use
+	closed   bool
 }
 
-// member is a target of the pool and its state.
-type member struct {
-	host     hosts.Target
-	t        target.Target
-	busy     int       // slots in use
-	failures int       // consecutive failed calls
-	lastTake uint64    // value of Pool.taken when its slot was last acquired
-	restAt   time.Time // end of the ejection: no calls are sent before
+// poolTarget is a target of the pool and its state.
+type poolTarget struct {
+	info         hosts.Target
+	client       target.Target
+	busy         int       // slots in use
+	failures     int       // consecutive failed calls
+	lastAcquired uint64    // value of Pool.acquired when its slot was last acquired
+	ejectedUntil time.Time // end of the ejection: no calls are sent before
 }
 
 // Limits of a pool.
 const (
 	maxQueuePerSlot = 4 // queued calls per available slot
-	failuresToRest  = 3 // consecutive failures that eject a target
-	restTime        = 2 * time.Second
+	failuresToEject = 3 // consecutive failures that eject a target
+	ejectionTime    = 2 * time.Second
 )
 
 // NewPool returns a pool without targets.
 func NewPool(cfg PoolConfig) *Pool {
-	return &Pool{cfg: cfg, targets: map[string]*member{}}
+	return &Pool{cfg: cfg, targets: map[string]*poolTarget{}}
 }
 
 // SetTargets replaces the targets of the pool. A target that is leaving or no longer
@@ -83,29 +83,29 @@
 	listed := map[string]bool{}
 	for _, h := range list {
 		listed[h.ID] = true
-		m := p.targets[h.ID]
-		if m == nil || m.host.URL != h.URL {
-			m = &member{t: p.cfg.Dial(h)}
-			p.targets[h.ID] = m
+		t := p.targets[h.ID]
+		if t == nil || t.info.URL != h.URL {
+			t = &poolTarget{client: p.cfg.Dial(h)}
+			p.targets[h.ID] = t
 		}
-		m.host = h
+		t.info = h
 	}
-	for id, m := range p.targets {
+	for id, t := range p.targets {
 		if !listed[id] {
-			m.host.State = hosts.Leaving
-			if m.busy == 0 {
+			t.info.State = hosts.Leaving
+			if t.busy == 0 {
 				delete(p.targets, id)
 			}
 		}
 	}
-	p.hand()
+	p.assignQueued()
 }
 
 // Load returns the state of the pool that gossip reports to peers.
 func (p *Pool) Load() wire.Pool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	w := wire.Pool{Group: p.cfg.Group, Az: p.cfg.Az, Service: p.cfg.Service, Busy: p.busy, Queued: len(p.waiting)}
+	w := wire.Pool{Group: p.cfg.Group, Az: p.cfg.Az, Service: p.cfg.Service, Busy: p.busy, Queued: len(p.queue)}
 	w.Slots = p.slots()
 	return w
 }
@@ -115,30 +115,30 @@
 func (p *Pool) slots() int {
 	n := 0
 	now := p.cfg.Clock.Now()
-	for _, m := range p.targets {
-		if m.open(now) {
-			n += m.host.Slots
+	for _, t := range p.targets {
+		if t.available(now) {
+			n += t.info.Slots
 		}
 	}
 	return n
 }
 
-// open reports whether the target is available for new calls: neither leaving nor
+// available reports whether the target is available for new calls: neither leaving nor
 // ejected.
-func (m *member) open(now time.Time) bool {
-	return m.host.State != hosts.Leaving && !now.Before(m.restAt)
+func (t *poolTarget) available(now time.Time) bool {
+	return t.info.State != hosts.Leaving && !now.Before(t.ejectedUntil)
 }
 
 // Serve sends a call to one target, without retries, and returns the complete
 // response. If no slot is free, the call is queued until ctx ends. Errors are of
 // type *fault.Error.
 func (p *Pool) Serve(ctx context.Context, msg wire.CallMsg) (a wire.CallAnswer, err error) {
-	m, err := p.acquire(ctx)
+	t, err := p.acquire(ctx)
 	if err != nil {
 		return a, err
 	}
-	answer, err := m.t.Call(ctx, target.Request{ID: msg.ID, Service: msg.Service, Body: msg.Body})
-	p.release(m, err)
+	answer, err := t.client.Call(ctx, target.Request{ID: msg.ID, Service: msg.Service, Body: msg.Body})
+	p.release(t, err)
 	if err != nil {
 		return a, err
 	}
@@ -146,135 +146,135 @@
 }
 
 // acquire acquires a slot of the target with the most free slots, or waits for one.
-func (p *Pool) acquire(ctx context.Context) (*member, error) {
+func (p *Pool) acquire(ctx context.Context) (*poolTarget, error) {
 	p.mu.Lock()
-	if m := p.pick(); m != nil {
-		p.take(m)
+	if t := p.pick(); t != nil {
+		p.takeSlot(t)
 		p.mu.Unlock()
-		return m, nil
+		return t, nil
 	}
 	slots := p.slots()
-	if p.closed || slots == 0 || len(p.waiting) >= maxQueuePerSlot*slots {
+	if p.closed || slots == 0 || len(p.queue) >= maxQueuePerSlot*slots {
 		p.mu.Unlock()
 		return nil, fault.New(fault.Overload, fault.NotRun, "service %q has no free slot in group %q", p.cfg.Service, p.cfg.Group).WithRetryAfter(1)
 	}
-	ch := make(chan *member, 1)
-	p.waiting = append(p.waiting, ch)
+	ch := make(chan *poolTarget, 1)
+	p.queue = append(p.queue, ch)
 	p.mu.Unlock()
 	select {
-	case m := <-ch:
-		if m == nil {
+	case t := <-ch:
+		if t == nil {
 			return nil, fault.New(fault.Unavailable, fault.NotRun, "the entry host is stopping")
 		}
-		return m, nil
+		return t, nil
 	case <-ctx.Done():
-		p.leave(ch)
+		p.leaveQueue(ch)
 		return nil, fault.New(fault.Overload, fault.NotRun, "no slot of service %q became free before the deadline", p.cfg.Service).WithRetryAfter(1)
 	}
 }
 
-// leave removes a call from the queue. If the call was assigned a slot in the
-// meantime, leave releases the slot.
-func (p *Pool) leave(ch chan *member) {
+// leaveQueue removes a call from the queue. If the call was assigned a slot in the
+// meantime, leaveQueue releases the slot.
+func (p *Pool) leaveQueue(ch chan *poolTarget) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for i, other := range p.waiting {
+	for i, other := range p.queue {
 		if other == ch {
-			p.waiting = append(p.waiting[:i], p.waiting[i+1:]...)
+			p.queue = append(p.queue[:i], p.queue[i+1:]...)
 			return
 		}
 	}
-	if m := <-ch; m != nil {
-		m.busy--
+	if t := <-ch; t != nil {
+		t.busy--
 		p.busy--
-		p.hand()
+		p.assignQueued()
 	}
 }
 
 // pick returns the available target with the most free slots, or nil if no slot is
 // free. The caller must hold p.mu.
-func (p *Pool) pick() *member {
-	var best *member
+func (p *Pool) pick() *poolTarget {
+	var best *poolTarget
 	now := p.cfg.Clock.Now()
-	for _, m := range p.targets {
-		if !m.open(now) || m.busy >= m.host.Slots {
+	for _, t := range p.targets {
+		if !t.available(now) || t.busy >= t.info.Slots {
 			continue
 		}
-		if best == nil || m.before(best) {
-			best = m
+		if best == nil || t.preferredTo(best) {
+			best = t
 		}
 	}
 	return best
 }
 
-// before reports whether m is preferred to o: the target with more free slots, then
-// the one that was used less recently, then the one with the lower id.
-func (m *member) before(o *member) bool {
-	if m.free() != o.free() {
-		return m.free() > o.free()
+// preferredTo reports whether t is preferred to o: the target with more free slots,
+// then the one that was used less recently, then the one with the lower id.
+func (t *poolTarget) preferredTo(o *poolTarget) bool {
+	if t.freeSlots() != o.freeSlots() {
+		return t.freeSlots() > o.freeSlots()
 	}
-	if m.lastTake != o.lastTake {
-		return m.lastTake < o.lastTake
+	if t.lastAcquired != o.lastAcquired {
+		return t.lastAcquired < o.lastAcquired
 	}
-	return m.host.ID < o.host.ID
+	return t.info.ID < o.info.ID
 }
 
-func (m *member) free() int { return m.host.Slots - m.busy }
+func (t *poolTarget) freeSlots() int { return t.info.Slots - t.busy }
 
-// take acquires a slot of m. The caller must hold p.mu.
-func (p *Pool) take(m *member) {
-	p.taken++
-	m.lastTake = p.taken
-	m.busy++
+// takeSlot acquires a slot of t. The caller must hold p.mu.
+func (p *Pool) takeSlot(t *poolTarget) {
+	p.acquired++
+	t.lastAcquired = p.acquired
+	t.busy++
 	p.busy++
 }
 
-// hand assigns free slots to the queued calls. The caller must hold p.mu.
-func (p *Pool) hand() {
-	for len(p.waiting) > 0 {
-		m := p.pick()
-		if m == nil {
+// assignQueued assigns free slots to the queued calls. The caller must hold p.mu.
+func (p *Pool) assignQueued() {
+	for len(p.queue) > 0 {
+		t := p.pick()
+		if t == nil {
 			return
 		}
-		p.take(m)
-		p.waiting[0] <- m
-		p.waiting = p.waiting[1:]
+		p.takeSlot(t)
+		p.queue[0] <- t
+		p.queue = p.queue[1:]
 	}
 }
 
 // release releases the slot and records the result of the call. A target with
-// failuresToRest consecutive failures is ejected for restTime if mayRest allows
+// failuresToEject consecutive failures is ejected for ejectionTime if mayEject allows
 // it. An overload error does not count as a failure.
-func (p *Pool) release(m *member, err error) {
+func (p *Pool) release(t *poolTarget, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	m.busy--
+	t.busy--
 	p.busy--
 	switch {
 	case err == nil:
-		m.failures = 0
+		t.failures = 0
 	case !fault.Is(err, fault.Overload):
-		m.failures++
-		if m.failures >= failuresToRest && p.mayRest() {
-			m.failures = 0
-			m.restAt = p.cfg.Clock.Now().Add(restTime)
+		t.failures++
+		if t.failures >= failuresToEject && p.mayEject() {
+			t.failures = 0
+			t.ejectedUntil = p.cfg.Clock.Now().Add(ejectionTime)
 		}
 	}
-	p.hand()
+	p.assignQueued()
 }
 
-// mayRest reports whether at least half of the targets would remain available after
-// ejecting one more, so that errors of a service never eject all of its targets.
+// mayEject reports whether at least half of the targets would remain available
+// after ejecting one more, so that errors of a service never eject all of its targets.
 // The caller must hold p.mu.
-func (p *Pool) mayRest() bool {
-	open := 0
+func (p *Pool) mayEject() bool {
+	available := 0
 	now := p.cfg.Clock.Now()
-	for _, m := range p.targets {
-		if m.open(now) {
-			open++
+	for _, t := range p.targets {
+		if t.available(now) {
+			available++
 		}
 	}
-	return (open-1)*2 >= len(p.targets)
+	return (available-1)*2 >= len(p.targets)
 }
 
 // Close rejects the queued calls. Later calls are rejected when no slot is free.
@@ -283,8 +283,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
-	for _, ch := range p.waiting {
+	for _, ch := range p.queue {
 		close(ch)
 	}
-	p.waiting = nil
+	p.queue = nil
 }
--- a/internal/node/route/route.go
+++ b/internal/node/route/route.go
@@ -20,19 +20,19 @@
 
 // RouterConfig describes a Router.
 type RouterConfig struct {
-	Az      string // availability zone of this host
-	Forward Forwarder
-	Rand    *rand.Rand // used only with the router's lock held
+	Az        string // availability zone of this host
+	Forwarder Forwarder
+	Rand      *rand.Rand // used only with the router's lock held
 }
 
 // Router selects a pool for each call and retries failed calls where that is safe.
 type Router struct {
 	cfg RouterConfig
 
-	mu     sync.Mutex
-	own    map[string]int // group -> calls in flight from this router
-	tokens float64        // retries left in the budget
-	stats  RouterStats
+	mu       sync.Mutex
+	inFlight map[string]int // group -> calls in flight from this router
+	budget   float64        // retries left in the budget
+	stats    RouterStats
 }
 
 // RouterStats holds the counters of a Router.
@@ -45,7 +45,7 @@
 
 // Retry limits and pool selection.
 const (
-	maxTries        = 4   // attempts per call
+	maxAttempts     = 4   // attempts per call
 	budgetPerCall   = 0.1 // retries that each call adds to the budget
 	maxBudget       = 50  // maximum retries in the budget
 	remoteAzPenalty = 0.5 // added to the load of a pool in another availability zone
@@ -53,7 +53,7 @@
 
 // NewRouter returns a router with a full retry budget.
 func NewRouter(cfg RouterConfig) *Router {
-	return &Router{cfg: cfg, own: map[string]int{}, tokens: maxBudget}
+	return &Router{cfg: cfg, inFlight: map[string]int{}, budget: maxBudget}
 }
 
 // Stats returns the counters.
@@ -69,10 +69,10 @@
 // so a late response to one attempt is not taken for that of another.
 func (r *Router) Call(ctx context.Context, msg wire.CallMsg) (a wire.CallAnswer, err error) {
 	defer fault.Note(&err, "service %q", msg.Service)
-	r.earn()
+	r.startCall()
 	tried := map[string]bool{}
 	id := msg.ID
-	for try := 1; ; try++ {
+	for attempt := 1; ; attempt++ {
 		pool, ok := r.pick(msg.Service, tried)
 		if !ok {
 			if err == nil {
@@ -80,26 +80,26 @@
 			}
 			return a, err
 		}
-		msg.Group, msg.ID = pool.Group, tryID(id, try)
+		msg.Group, msg.ID = pool.Group, attemptID(id, attempt)
 		a, err = r.send(ctx, msg)
-		if err == nil || ctx.Err() != nil || try == maxTries || !repeatable(err, msg.Idempotent) || !r.spend() {
+		if err == nil || ctx.Err() != nil || attempt == maxAttempts || !retryable(err, msg.Idempotent) || !r.takeRetry() {
 			return a, err
 		}
 		tried[pool.Group] = true
 	}
 }
 
-// tryID returns the call id of an attempt. The first attempt uses the id of the call
+// attemptID returns the call id of an attempt. The first attempt uses the id of the call
 // itself.
-func tryID(id string, try int) string {
-	if try == 1 {
+func attemptID(id string, attempt int) string {
+	if attempt == 1 {
 		return id
 	}
-	return id + "~" + string(rune('0'+try))
+	return id + "~" + string(rune('0'+attempt))
 }
 
-// repeatable reports whether a call that failed with err may be retried.
-func repeatable(err error, idempotent bool) bool {
+// retryable reports whether a call that failed with err may be retried.
+func retryable(err error, idempotent bool) bool {
 	switch fault.RanOf(err) {
 	case fault.NotRun:
 		return true
@@ -112,12 +112,12 @@
 // send forwards one attempt and counts it as in flight until it ends.
 func (r *Router) send(ctx context.Context, msg wire.CallMsg) (wire.CallAnswer, error) {
 	r.mu.Lock()
-	r.own[msg.Group]++
+	r.inFlight[msg.Group]++
 	r.mu.Unlock()
-	a, err := r.cfg.Forward.Serve(ctx, msg)
+	a, err := r.cfg.Forwarder.Serve(ctx, msg)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.own[msg.Group]--
+	r.inFlight[msg.Group]--
 	if err != nil && fault.RanOf(err) == fault.Unknown {
 		r.stats.Unknown++
 	}
@@ -127,25 +127,25 @@
 // pick returns the less loaded of two random pools of the service. Pools that were
 // already tried are considered only when no other is left.
 func (r *Router) pick(service string, tried map[string]bool) (best wire.Pool, ok bool) {
-	var fresh, used []wire.Pool
-	for _, p := range r.cfg.Forward.Pools() {
+	var candidates, alreadyTried []wire.Pool
+	for _, p := range r.cfg.Forwarder.Pools() {
 		switch {
 		case p.Service != service || p.Slots == 0:
 		case tried[p.Group]:
-			used = append(used, p)
+			alreadyTried = append(alreadyTried, p)
 		default:
-			fresh = append(fresh, p)
+			candidates = append(candidates, p)
 		}
 	}
-	if len(fresh) == 0 {
-		fresh = used
+	if len(candidates) == 0 {
+		candidates = alreadyTried
 	}
-	if len(fresh) == 0 {
+	if len(candidates) == 0 {
 		return wire.Pool{}, false
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	a, b := fresh[r.cfg.Rand.IntN(len(fresh))], fresh[r.cfg.Rand.IntN(len(fresh))]
+	a, b := candidates[r.cfg.Rand.IntN(len(candidates))], candidates[r.cfg.Rand.IntN(len(candidates))]
 	if r.load(b) < r.load(a) {
 		return b, true
 	}
@@ -156,30 +156,30 @@
 // It uses the larger of the load that gossip reported and the calls in flight from
 // this router, because the reported load may be out of date.
 func (r *Router) load(p wire.Pool) float64 {
-	load := float64(max(p.Busy+p.Queued, r.own[p.Group])) / float64(p.Slots)
+	load := float64(max(p.Busy+p.Queued, r.inFlight[p.Group])) / float64(p.Slots)
 	if p.Az != r.cfg.Az {
 		load += remoteAzPenalty
 	}
 	return load
 }
 
-// earn counts a call and adds its share to the retry budget.
-func (r *Router) earn() {
+// startCall counts a call and adds its share to the retry budget.
+func (r *Router) startCall() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.stats.Calls++
-	r.tokens = min(r.tokens+budgetPerCall, maxBudget)
+	r.budget = min(r.budget+budgetPerCall, maxBudget)
 }
 
-// spend takes one retry from the budget. It returns false if the budget is used up.
-func (r *Router) spend() bool {
+// takeRetry takes one retry from the budget. It returns false if the budget is used up.
+func (r *Router) takeRetry() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.tokens < 1 {
+	if r.budget < 1 {
 		r.stats.Denied++
 		return false
 	}
-	r.tokens--
+	r.budget--
 	r.stats.Retries++
 	return true
 }
--- a/internal/node/route/route_test.go
+++ b/internal/node/route/route_test.go
@@ -23,7 +23,7 @@
 type fakeTarget struct {
 	mu      sync.Mutex
 	busy    int
-	most    int
+	maxBusy int
 	calls   int
 	err     error
 	release chan struct{} // if nil, calls return immediately
@@ -33,7 +33,7 @@
 	f.mu.Lock()
 	f.calls++
 	f.busy++
-	f.most = max(f.most, f.busy)
+	f.maxBusy = max(f.maxBusy, f.busy)
 	err := f.err
 	f.mu.Unlock()
 	if f.release != nil {
@@ -45,21 +45,21 @@
 	return target.Answer{Body: req.Body, Status: 200}, err
 }
 
-func (f *fakeTarget) count() int {
+func (f *fakeTarget) callCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.calls
 }
 
-// testPool returns a pool of n targets with two slots each. If held is true, the
+// testPool returns a pool of n targets with two slots each. If blocking is true, the
 // targets block their calls.
-func testPool(n int, held bool) (*Pool, []*fakeTarget, []hosts.Target, *clock.Manual) {
+func testPool(n int, blocking bool) (*Pool, []*fakeTarget, []hosts.Target, *clock.Manual) {
 	fakes := make([]*fakeTarget, n)
 	list := make([]hosts.Target, n)
 	byID := map[string]*fakeTarget{}
 	for i := range n {
 		fakes[i] = &fakeTarget{}
-		if held {
+		if blocking {
 			fakes[i].release = make(chan struct{})
 		}
 		list[i] = hosts.Target{ID: fmt.Sprintf("t%d", i), Service: "s", Slots: 2, State: hosts.Live}
@@ -109,21 +109,21 @@
 	assert.Equal(t, outcomes[fault.Done], capacity)
 	ran := 0
 	for _, f := range fakes {
-		assert.Assert(t, f.most <= 2, "a target with 2 slots had %d calls", f.most)
+		assert.Assert(t, f.maxBusy <= 2, "a target with 2 slots had %d calls", f.maxBusy)
 		ran += f.calls
 	}
 	assert.Equal(t, ran, capacity, "a rejected call ran")
 	assert.Equal(t, p.Load().Busy, 0)
 }
 
-// TestPoolGivesUp checks that a queued call whose context ends does not run and leaves
-// the queue.
-func TestPoolGivesUp(t *testing.T) {
+// TestQueuedCallCanceled checks that a queued call whose context ends does not run
+// and leaves the queue.
+func TestQueuedCallCanceled(t *testing.T) {
 	p, fakes, _, _ := testPool(1, true)
 	for range 2 {
 		go func() { _, _ = p.Serve(context.Background(), wire.CallMsg{ID: "held"}) }()
 	}
-	until(t, func() bool { return fakes[0].count() == 2 })
+	until(t, func() bool { return fakes[0].callCount() == 2 })
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() {
@@ -135,7 +135,7 @@
 	assert.Equal(t, fault.RanOf(<-done), fault.NotRun)
 	close(fakes[0].release)
 	until(t, func() bool { return p.Load().Busy == 0 })
-	assert.Equal(t, fakes[0].count(), 2)
+	assert.Equal(t, fakes[0].callCount(), 2)
 }
 
 // TestLeavingTarget checks that a leaving target gets no new calls, and that a pool
@@ -148,17 +148,17 @@
 		_, err := p.Serve(context.Background(), wire.CallMsg{})
 		assert.NilError(t, err)
 	}
-	assert.Equal(t, fakes[0].count(), 0)
-	assert.Equal(t, fakes[1].count(), 10)
+	assert.Equal(t, fakes[0].callCount(), 0)
+	assert.Equal(t, fakes[1].callCount(), 10)
 	assert.Equal(t, p.Load().Slots, 2)
 	p.SetTargets(list[:0])
 	_, err := p.Serve(context.Background(), wire.CallMsg{})
 	assert.Equal(t, fault.RanOf(err), fault.NotRun)
 }
 
-// TestRest checks that a failing target is ejected and becomes available again, and
+// TestEjection checks that a failing target is ejected and becomes available again, and
 // that failures never eject all targets of a pool.
-func TestRest(t *testing.T) {
+func TestEjection(t *testing.T) {
 	p, fakes, _, c := testPool(3, false)
 	for _, f := range fakes {
 		f.err = fault.New(fault.BadAnswer, fault.Unknown, "broken")
@@ -168,20 +168,20 @@
 		assert.Equal(t, fault.RanOf(err), fault.Unknown)
 	}
 	assert.Equal(t, p.Load().Slots, 4, "only one of three targets may be ejected")
-	c.Advance(restTime)
+	c.Advance(ejectionTime)
 	assert.Equal(t, p.Load().Slots, 6)
 }
 
-// script is a Forwarder that returns the next error of a list for each attempt.
-type script struct {
+// fakeForwarder is a Forwarder that returns the next error of a list for each attempt.
+type fakeForwarder struct {
 	pools []wire.Pool
 	errs  []error
 	sent  []wire.CallMsg
 }
 
-func (s *script) Pools() []wire.Pool { return s.pools }
+func (s *fakeForwarder) Pools() []wire.Pool { return s.pools }
 
-func (s *script) Serve(_ context.Context, msg wire.CallMsg) (wire.CallAnswer, error) {
+func (s *fakeForwarder) Serve(_ context.Context, msg wire.CallMsg) (wire.CallAnswer, error) {
 	s.sent = append(s.sent, msg)
 	if n := len(s.sent); n <= len(s.errs) && s.errs[n-1] != nil {
 		return wire.CallAnswer{}, s.errs[n-1]
@@ -200,14 +200,14 @@
 			errs = append(errs, fault.New(fault.Unavailable, ran, "x"))
 		}
 		idempotent := rapid.Bool().Draw(t, "idempotent")
-		s := &script{errs: errs}
+		s := &fakeForwarder{errs: errs}
 		for _, g := range []string{"a", "b", "c"} {
 			s.pools = append(s.pools, wire.Pool{Group: g, Service: "s", Slots: 1})
 		}
-		r := NewRouter(RouterConfig{Forward: s, Rand: rand.New(rand.NewPCG(1, rapid.Uint64().Draw(t, "seed")))})
+		r := NewRouter(RouterConfig{Forwarder: s, Rand: rand.New(rand.NewPCG(1, rapid.Uint64().Draw(t, "seed")))})
 		_, err := r.Call(context.Background(), wire.CallMsg{Service: "s", ID: "c", Idempotent: idempotent})
 		want := 1
-		for want < maxTries && want <= len(errs) && (idempotent || fault.RanOf(errs[want-1]) == fault.NotRun) {
+		for want < maxAttempts && want <= len(errs) && (idempotent || fault.RanOf(errs[want-1]) == fault.NotRun) {
 			want++
 		}
 		assert.Equal(t, len(s.sent), want)
@@ -225,11 +225,11 @@
 
 // TestRetryBudget checks that the number of retries is limited by the budget.
 func TestRetryBudget(t *testing.T) {
-	s := &script{pools: []wire.Pool{{Group: "a", Service: "s", Slots: 1}}}
+	s := &fakeForwarder{pools: []wire.Pool{{Group: "a", Service: "s", Slots: 1}}}
 	for range 10_000 {
 		s.errs = append(s.errs, fault.New(fault.Unavailable, fault.NotRun, "down"))
 	}
-	r := NewRouter(RouterConfig{Forward: s, Rand: rand.New(rand.NewPCG(1, 1))})
+	r := NewRouter(RouterConfig{Forwarder: s, Rand: rand.New(rand.NewPCG(1, 1))})
 	const calls = 1000
 	for i := range calls {
 		_, err := r.Call(context.Background(), wire.CallMsg{Service: "s", ID: fmt.Sprint(i)})
--- a/internal/node/wire/wire.go
+++ b/internal/node/wire/wire.go
@@ -17,20 +17,20 @@
 
 // The methods that entry hosts call on each other.
 var (
-	Gossip  = frame.Method[GossipMsg, GossipMsg]{ID: 1, Name: "gossip"}
-	Cell    = frame.Method[CellMsg, CellAnswer]{ID: 2, Name: "cell"}
-	Submit  = frame.Method[SubmitMsg, jobs.Job]{ID: 3, Name: "submit"}
-	Status  = frame.Method[StatusMsg, StatusAnswer]{ID: 4, Name: "status"}
-	Cancel  = frame.Method[CancelMsg, jobs.Job]{ID: 5, Name: "cancel"}
-	Settle  = frame.Method[SettleMsg, jobs.Job]{ID: 6, Name: "settle"}
-	Reserve = frame.Method[ReserveMsg, ReserveAnswer]{ID: 7, Name: "reserve"}
-	Start   = frame.Method[StartMsg, StartAnswer]{ID: 8, Name: "start"}
-	Stop    = frame.Method[StopMsg, Empty]{ID: 9, Name: "stop"}
-	Where   = frame.Method[WhereMsg, WhereAnswer]{ID: 10, Name: "where"}
-	Report  = frame.Method[ReportMsg, ReportAnswer]{ID: 11, Name: "report"}
-	Serve   = frame.Method[CallMsg, CallAnswer]{ID: 12, Name: "serve"}
-	Once    = frame.Method[CallMsg, CallAnswer]{ID: 13, Name: "once"}
-	List    = frame.Method[ListMsg, ListAnswer]{ID: 14, Name: "list"}
+	Gossip     = frame.Method[GossipMsg, GossipMsg]{ID: 1, Name: "gossip"}
+	ReadConfig = frame.Method[ReadConfigMsg, ReadConfigAnswer]{ID: 2, Name: "cell"}
+	Submit     = frame.Method[SubmitMsg, jobs.Job]{ID: 3, Name: "submit"}
+	Status     = frame.Method[StatusMsg, StatusAnswer]{ID: 4, Name: "status"}
+	Cancel     = frame.Method[CancelMsg, jobs.Job]{ID: 5, Name: "cancel"}
+	Settle     = frame.Method[SettleMsg, jobs.Job]{ID: 6, Name: "settle"}
+	Reserve    = frame.Method[ReserveMsg, ReserveAnswer]{ID: 7, Name: "reserve"}
+	Start      = frame.Method[StartMsg, StartAnswer]{ID: 8, Name: "start"}
+	Stop       = frame.Method[StopMsg, Empty]{ID: 9, Name: "stop"}
+	Where      = frame.Method[WhereMsg, WhereAnswer]{ID: 10, Name: "where"}
+	Report     = frame.Method[ReportMsg, ReportAnswer]{ID: 11, Name: "report"}
+	Serve      = frame.Method[CallMsg, CallAnswer]{ID: 12, Name: "serve"}
+	Once       = frame.Method[CallMsg, CallAnswer]{ID: 13, Name: "once"}
+	List       = frame.Method[ListMsg, ListAnswer]{ID: 14, Name: "list"}
 )
 
 // Empty is a response without content.
@@ -40,24 +40,24 @@
 // GossipMsg carries heartbeats, and the member descriptions that the receiver
 // probably lacks.
 type GossipMsg struct {
-	Beats   []Beat
-	Members []Member
+	Heartbeats []Heartbeat
+	Members    []Member
 }
 
-// Beat is the newest known heartbeat of a member. It holds the data that changes
+// Heartbeat is the newest known heartbeat of a member. It holds the data that changes
 // at every interval and is kept small.
-type Beat struct {
-	ID       string
-	Boot     int64  // incarnation: higher after each restart of the host
-	Beat     uint64 // counter within the incarnation
-	Version  uint64 // of the member's description
-	CellNext int64  // next offset that the member will read from the configuration stream
-	LogAgeMs int64  // time since the member last read the end of the configuration stream from the log
+type Heartbeat struct {
+	ID         string
+	Boot       int64  // incarnation: higher after each restart of the host
+	Seq        uint64 // counter within the incarnation
+	Version    uint64 // of the member's description
+	ConfigNext int64  // next offset that the member will read from the configuration stream
+	LogAgeMs   int64  // time since the member last read the end of the configuration stream from the log
 }
 
 // Newer reports whether b is a later heartbeat than o.
-func (b Beat) Newer(o Beat) bool {
-	return b.Boot > o.Boot || b.Boot == o.Boot && b.Beat > o.Beat
+func (b Heartbeat) Newer(o Heartbeat) bool {
+	return b.Boot > o.Boot || b.Boot == o.Boot && b.Seq > o.Seq
 }
 
 // Member describes one entry host.
@@ -101,13 +101,13 @@
 	Queued  int    `json:"queued"`
 }
 
-// CellMsg requests configuration records from a peer, starting at offset From.
-type CellMsg struct {
+// ReadConfigMsg requests configuration records from a peer, starting at offset From.
+type ReadConfigMsg struct {
 	From int64
 }
 
-// CellAnswer carries configuration records that the peer has read.
-type CellAnswer struct {
+// ReadConfigAnswer carries configuration records that the peer has read.
+type ReadConfigAnswer struct {
 	First int64    // offset of the first record
 	Data  [][]byte // records at consecutive offsets
 	Next  int64    // next offset that the peer will read
