--- a/internal/node/entry/api.go
+++ b/internal/node/entry/api.go
@@ -114,6 +114,7 @@
 	return fault.New(fault.Denied, fault.NotRun, "operator requests are accepted from the loopback address only")
 }
 
+// getHealth reports that the process is running.
 func (h *Host) getHealth(w http.ResponseWriter, _ *http.Request) {
 	httpd.WriteJSON(w, struct {
 		Status string `json:"status"`
@@ -200,6 +201,7 @@
 	return t
 }
 
+// getDump returns the host's state to an operator.
 func (h *Host) getDump(r *http.Request) (Dump, error) {
 	if err := h.checkOperator(r); err != nil {
 		return Dump{}, err
--- a/internal/node/entry/cell_test.go
+++ b/internal/node/entry/cell_test.go
@@ -30,12 +30,12 @@
 
 // testCell is a cell whose parts run in the test process and communicate over TCP.
 type testCell struct {
-	t     testing.TB
-	log   *fakes.Log
-	gates []*gatedLog
-	fleet *fakes.Fleet
-	execs *fakes.Execs
-	hosts []*Host
+	t        testing.TB
+	log      *fakes.Log
+	testLogs []*testLog
+	fleet    *fakes.Fleet
+	execs    *fakes.Execs
+	hosts    []*Host
 }
 
 // testCellConfig describes a testCell.
@@ -104,9 +104,9 @@
 `, i, testAzs[i%len(testAzs)], peers, c.log.URL(), c.fleet.URL(), c.execs.URL(), timing)))
 	assert.NilError(c.t, err)
 	set.Host.Peer = "127.0.0.1:0"
-	gate := &gatedLog{Log: stream.NewClient(stream.ClientConfig{URL: c.log.URL(), Timeout: set.Platform.LogTimeout})}
-	c.gates = append(c.gates, gate)
-	h, err := Start(Config{Settings: set, Logger: logs.Discard(), Log: gate})
+	client := &testLog{Log: stream.NewClient(stream.ClientConfig{URL: c.log.URL(), Timeout: set.Platform.LogTimeout})}
+	c.testLogs = append(c.testLogs, client)
+	h, err := Start(Config{Settings: set, Logger: logs.Discard(), Log: client})
 	assert.NilError(c.t, err)
 	c.hosts = append(c.hosts, h)
 	return h
--- a/internal/node/entry/entry_test.go
+++ b/internal/node/entry/entry_test.go
@@ -302,7 +302,7 @@
 	c.createTeam("lab", 8000)
 	waitForMembership(c)
 	disconnect(c, 0, true)
-	c.gates[0].disconnected.Store(true)
+	c.testLogs[0].disconnected.Store(true)
 	until(t, "the disconnected host is not ready", func() bool { return c.hosts[0].Ready() != nil })
 	_, err := send[jobs.Job](c.hosts[0], "lab.secret", http.MethodPost, "/jobs", testSpec("survey", 10))
 	assert.Equal(t, fault.From(err).Code, fault.Unavailable)
@@ -338,7 +338,7 @@
 // hosts, in which it would remain ready.
 func TestLonelyHost(t *testing.T) {
 	c := startTestCell(t, testCellConfig{hosts: 1, workers: 2, timing: "freshFor = 300ms"})
-	c.gates[0].disconnected.Store(true)
+	c.testLogs[0].disconnected.Store(true)
 	until(t, "the isolated host is not ready", func() bool { return c.hosts[0].Ready() != nil })
 }
 
--- a/internal/node/entry/jobs.go
+++ b/internal/node/entry/jobs.go
@@ -212,7 +212,7 @@
 }
 
 // getJobs lists the jobs of the request's team, or of all teams if an operator sends
-// the request without a team's key.
+// the request without a key.
 func (h *Host) getJobs(r *http.Request) (l JobList, err error) {
 	team := ""
 	if h.checkOperator(r) != nil || bearerToken(r) != "" {
--- a/internal/node/entry/remote.go
+++ b/internal/node/entry/remote.go
@@ -122,7 +122,7 @@
 	}
 }
 
-// ownerUnreachable reports whether err means that the owner could not be reached.
+// ownerUnreachable reports whether err may mean that the owner could not be reached.
 func ownerUnreachable(err error) bool {
 	return fault.Is(err, fault.NotOwner) || fault.Is(err, fault.Unavailable)
 }
