--- a/internal/node/entry/metrics.go
+++ b/internal/node/entry/metrics.go
@@ -78,6 +78,7 @@
 	status int
 }
 
+// WriteHeader implements http.ResponseWriter.
 func (w *statusWriter) WriteHeader(status int) {
 	w.status = status
 	w.ResponseWriter.WriteHeader(status)
