--- a/internal/node/entry/api.go
+++ b/internal/node/entry/api.go
@@ -27,36 +27,38 @@
 	HeaderRan        = "Call-Ran"
 )
 
+// Limits of requests.
 const (
-	maxWait     = time.Minute // for requests that wait for a job's end
-	maxListJobs = 1000
-	maxTimeout  = 10 * time.Minute
+	maxStatusWait  = time.Minute // wait for the end of a job
+	maxListJobs    = 1000        // jobs listed per group
+	maxCallTimeout = 10 * time.Minute
 )
 
-// routes lists the HTTP API. It is documented in docs/API.md.
+// routes returns the routes of the HTTP API, which docs/API.md documents.
 func (h *Host) routes() []rest.Route {
 	route := func(method, path string, fn http.HandlerFunc) rest.Route {
-		return rest.Route{Method: method, Path: path, Handler: h.metrics.count(path, fn)}
+		return rest.Route{Method: method, Path: path, Handler: h.metrics.countRequests(path, fn)}
 	}
 	metrics := promhttp.HandlerFor(h.metrics.registry, promhttp.HandlerOpts{})
 	return []rest.Route{
-		route(http.MethodPost, "/jobs", answer(h.postJob)),
-		route(http.MethodGet, "/jobs", answer(h.getJobs)),
-		route(http.MethodGet, "/jobs/:id", answer(h.getJob)),
-		route(http.MethodPost, "/jobs/:id/cancel", answer(h.postCancel)),
+		route(http.MethodPost, "/jobs", jsonHandler(h.postJob)),
+		route(http.MethodGet, "/jobs", jsonHandler(h.getJobs)),
+		route(http.MethodGet, "/jobs/:id", jsonHandler(h.getJob)),
+		route(http.MethodPost, "/jobs/:id/cancel", jsonHandler(h.postCancel)),
 		route(http.MethodPost, "/call/:service", h.postCall),
-		route(http.MethodGet, "/config", answer(h.getConfig)),
-		route(http.MethodPost, "/edits", answer(h.postEdit)),
-		route(http.MethodPost, "/settle", answer(h.postSettle)),
-		route(http.MethodGet, "/dump", answer(h.getDump)),
+		route(http.MethodGet, "/config", jsonHandler(h.getConfig)),
+		route(http.MethodPost, "/edits", jsonHandler(h.postEdit)),
+		route(http.MethodPost, "/settle", jsonHandler(h.postSettle)),
+		route(http.MethodGet, "/dump", jsonHandler(h.getDump)),
 		route(http.MethodGet, "/healthz", h.getHealth),
 		route(http.MethodGet, "/readyz", h.getReady),
 		route(http.MethodGet, "/metrics", metrics.ServeHTTP),
 	}
 }
 
-// answer turns a function into a handler that writes JSON or a problem document.
-func answer[T any](fn func(*http.Request) (T, error)) http.HandlerFunc {
+// jsonHandler returns a handler that writes the result of fn as JSON, or its error
+// as a problem document.
+func jsonHandler[T any](fn func(*http.Request) (T, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		v, err := fn(r)
 		if err != nil {
@@ -67,57 +69,59 @@
 	}
 }
 
-// bearer returns the key that came with the request, or "".
-func bearer(r *http.Request) string {
+// bearerToken returns the key in the request's Authorization header, or "".
+func bearerToken(r *http.Request) string {
 	key, _ := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	return strings.TrimSpace(key)
 }
 
-// team returns the team whose key came with the request, or the open team for
-// a request without a key.
-func (h *Host) team(r *http.Request) (string, error) {
-	if err := h.cell.Fresh(); err != nil {
+// requestTeam returns the team of the request's key, or config.OpenTeam if the
+// request has no key.
+func (h *Host) requestTeam(r *http.Request) (string, error) {
+	if err := h.follower.Fresh(); err != nil {
 		return "", err
 	}
-	key := bearer(r)
+	key := bearerToken(r)
 	if key == "" {
 		return config.OpenTeam, nil
 	}
-	return h.cell.State().TeamOfKey(key)
+	return h.follower.State().TeamOfKey(key)
 }
 
-// allowed returns an error unless the team may use the named thing. A request
-// without a key that is not open to all lacks a key.
-func (h *Host) allowed(team, kind, name string) error {
-	err := h.cell.State().Allowed(team, kind, name)
+// checkAllowed returns an error unless the team may use the named queue, service or
+// availability zone. If the request had no key, the error is NoKey.
+func (h *Host) checkAllowed(team, kind, name string) error {
+	err := h.follower.State().Allowed(team, kind, name)
 	if err != nil && team == config.OpenTeam {
-		return fault.New(fault.NoKey, fault.NotRun, "%s %q is not open to all; a key is needed", kind, name)
+		return fault.New(fault.NoKey, fault.NotRun, "%s %q requires a key", kind, name)
 	}
 	return err
 }
 
-// operator returns an error unless the request comes from an operator.
-func (h *Host) operator(r *http.Request) error {
-	if hash := h.set.API.OperatorKey; hash != "" {
-		if config.HashSecret(bearer(r)) == hash {
+// checkOperator returns an error unless the request comes from an operator: it
+// has the operators' key or, if none is set, comes from the loopback address.
+func (h *Host) checkOperator(r *http.Request) error {
+	if hash := h.settings.API.OperatorKey; hash != "" {
+		if config.HashSecret(bearerToken(r)) == hash {
 			return nil
 		}
-		return fault.New(fault.NoKey, fault.NotRun, "an operator's key is needed")
+		return fault.New(fault.NoKey, fault.NotRun, "the request requires the operators' key")
 	}
 	host, _, _ := net.SplitHostPort(r.RemoteAddr)
 	if ip := net.ParseIP(host); ip != nil && ip.IsLoopback() {
 		return nil
 	}
-	return fault.New(fault.Denied, fault.NotRun, "operators are admitted from the loopback address only")
+	return fault.New(fault.Denied, fault.NotRun, "operator requests are accepted from the loopback address only")
 }
 
+// getHealth reports that the process is running.
 func (h *Host) getHealth(w http.ResponseWriter, _ *http.Request) {
 	httpd.WriteJSON(w, struct {
 		Status string `json:"status"`
 	}{"ok"})
 }
 
-// getReady tells the balancer whether to send requests here.
+// getReady reports to the load balancer whether this host accepts requests.
 func (h *Host) getReady(w http.ResponseWriter, _ *http.Request) {
 	if err := h.Ready(); err != nil {
 		httpd.WriteError(w, err)
@@ -129,24 +133,24 @@
 // Ready returns an error unless the host can serve requests.
 func (h *Host) Ready() error {
 	h.mu.Lock()
-	leaving, listed := h.leaving, len(h.list.Workers)+len(h.list.Targets) > 0
+	leaving, hasHostList := h.leaving, len(h.hostList.Workers)+len(h.hostList.Targets) > 0
 	h.mu.Unlock()
 	switch {
 	case leaving:
-		return fault.New(fault.Unavailable, fault.NotRun, "host %q is stopping", h.set.Host.ID)
-	case !listed:
-		return fault.New(fault.Unavailable, fault.NotRun, "host %q has not read the host list yet", h.set.Host.ID)
+		return fault.New(fault.Unavailable, fault.NotRun, "host %q is stopping", h.settings.Host.ID)
+	case !hasHostList:
+		return fault.New(fault.Unavailable, fault.NotRun, "host %q has not read the host list yet", h.settings.Host.ID)
 	}
-	return h.cell.Fresh()
+	return h.follower.Fresh()
 }
 
-// Dump is the state of an entry host.
+// Dump is a snapshot of an entry host's state for operators.
 type Dump struct {
 	Host     string            `json:"host"`
 	Az       string            `json:"az"`
 	UptimeMs int64             `json:"uptimeMs"`
 	Leaving  bool              `json:"leaving"`
-	Ready    string            `json:"ready"` // "yes", or why not
+	Ready    string            `json:"ready"` // "yes", or the error of Ready
 	CellNext int64             `json:"cellNext"`
 	CellAge  int64             `json:"cellAgeMs"`
 	Live     []peers.Peer      `json:"live"`
@@ -156,13 +160,13 @@
 	Traffic  Traffic           `json:"trafficBytes"`
 }
 
-// Dump returns the host's state.
+// Dump returns a snapshot of the host's state.
 func (h *Host) Dump() Dump {
-	age, next := h.cell.Age()
+	age, next := h.follower.Age()
 	now := h.clock.Now()
 	d := Dump{
-		Host: h.set.Host.ID, Az: h.set.Host.Az, UptimeMs: now.Sub(h.started).Milliseconds(), Ready: "yes",
-		CellNext: next, CellAge: age.Milliseconds(), Live: h.table.Live(now), Pools: h.ownPools(),
+		Host: h.settings.Host.ID, Az: h.settings.Host.Az, UptimeMs: now.Sub(h.started).Milliseconds(), Ready: "yes",
+		CellNext: next, CellAge: age.Milliseconds(), Live: h.table.Live(now), Pools: h.servedPools(),
 		Router: h.router.Stats(), Groups: []owner.Dump{}, Traffic: h.traffic(),
 	}
 	if err := h.Ready(); err != nil {
@@ -171,23 +175,23 @@
 	h.mu.Lock()
 	d.Leaving = h.leaving
 	h.mu.Unlock()
-	for _, og := range h.ownGroups() {
-		d.Groups = append(d.Groups, og.g.Dump())
+	for _, lg := range h.localGroups() {
+		d.Groups = append(d.Groups, lg.g.Dump())
 	}
 	return d
 }
 
-// Traffic is what a host has exchanged with other entry hosts.
+// Traffic is the number of bytes exchanged with other entry hosts.
 type Traffic struct {
 	Control frame.Bytes `json:"control"` // membership and configuration
-	Work    frame.Bytes `json:"work"`    // what grows with jobs and calls
+	Work    frame.Bytes `json:"work"`    // everything else, proportional to jobs and calls
 }
 
-// traffic sums the bytes of both sides of the protocol.
+// traffic sums the bytes of the server and client sides of the peer protocol.
 func (h *Host) traffic() (t Traffic) {
-	for _, side := range []*frame.Traffic{h.frames.Traffic(), h.pool.Traffic()} {
+	for _, side := range []*frame.Traffic{h.peerServer.Traffic(), h.peerConns.Traffic()} {
 		for method, b := range side.ByMethod() {
-			if method == wire.Gossip.ID || method == wire.Cell.ID {
+			if method == wire.Gossip.ID || method == wire.ReadConfig.ID {
 				t.Control = t.Control.Plus(b)
 			} else {
 				t.Work = t.Work.Plus(b)
@@ -197,8 +201,9 @@
 	return t
 }
 
+// getDump returns the host's state to an operator.
 func (h *Host) getDump(r *http.Request) (Dump, error) {
-	if err := h.operator(r); err != nil {
+	if err := h.checkOperator(r); err != nil {
 		return Dump{}, err
 	}
 	return h.Dump(), nil
--- a/internal/node/entry/bench_test.go
+++ b/internal/node/entry/bench_test.go
@@ -18,12 +18,12 @@
 	"lagooncourse/internal/plat/fakes"
 )
 
-// BenchmarkSubmit offers 1,000 submissions a second to one entry host of three,
-// while the log takes 300 appends a second, and reports what was accepted and
-// how long it took.
+// BenchmarkSubmit sends 1,000 submissions per second to one of three entry hosts,
+// with a log that is limited to 300 appends per second. It reports the rate and the
+// latency of the accepted submissions.
 func BenchmarkSubmit(b *testing.B) {
-	c := startTestCell(b, testCellConfig{hosts: 3, workers: 50, appends: 300})
-	c.team("lab", 1_000_000)
+	c := startTestCell(b, testCellConfig{hosts: 3, workers: 50, appendsPerSecond: 300})
+	c.createTeam("lab", 1_000_000)
 	until(b, "every group has an owner", func() bool {
 		return len((&remote{h: c.hosts[0]}).Duties()) == len(testAzs)
 	})
@@ -63,8 +63,8 @@
 	}
 }
 
-// BenchmarkTakeover kills the owner of a group and measures the time until
-// another host owns it and until it has taken the inventory of its workers.
+// BenchmarkTakeover kills an entry host and measures the time until other hosts own
+// all of its groups.
 func BenchmarkTakeover(b *testing.B) {
 	h := hdrhistogram.New(1, time.Minute.Milliseconds(), 3)
 	for b.Loop() {
@@ -73,12 +73,12 @@
 			return len((&remote{h: c.hosts[0]}).Duties()) == len(testAzs)
 		})
 		victim := c.hosts[2]
-		names := victim.epochs()
+		names := victim.ownedEpochs()
 		start := time.Now()
 		victim.Kill()
-		until(b, "others own its groups", func() bool {
+		until(b, "other hosts own its groups", func() bool {
 			for name := range names {
-				if c.hosts[0].owned(name) == nil && c.hosts[1].owned(name) == nil {
+				if c.hosts[0].ownedGroup(name) == nil && c.hosts[1].ownedGroup(name) == nil {
 					return false
 				}
 			}
@@ -91,18 +91,18 @@
 	b.ReportMetric(float64(h.Max()), "max-ms")
 }
 
-// BenchmarkOutage measures how many calls are answered in each second while
-// the log is down, as a share of those before.
+// BenchmarkOutage reports how many of 500 calls succeed before and during an outage
+// of the log.
 func BenchmarkOutage(b *testing.B) {
 	for _, idempotent := range []bool{true, false} {
 		b.Run(fmt.Sprintf("idempotent=%t", idempotent), func(b *testing.B) {
 			c := startTestCell(b, testCellConfig{hosts: 3, workers: 6})
-			c.team("lab", 8000)
-			knowEachOther(c)
+			c.createTeam("lab", 8000)
+			waitForMembership(c)
 			for b.Loop() {
-				before := answered(c, idempotent, "before")
+				before := successfulCalls(c, idempotent, "before")
 				c.log.Set(fakes.LogSwitch{Outage: true})
-				during := answered(c, idempotent, "during")
+				during := successfulCalls(c, idempotent, "during")
 				c.log.Set(fakes.LogSwitch{})
 				b.ReportMetric(float64(before), "before")
 				b.ReportMetric(float64(during), "during")
@@ -111,8 +111,9 @@
 	}
 }
 
-// answered makes 100 calls a second for 5 s and counts the answers.
-func answered(c *testCell, idempotent bool, salt string) int64 {
+// successfulCalls sends 100 calls per second for 5 s and returns the number of
+// successful ones.
+func successfulCalls(c *testCell, idempotent bool, idPrefix string) int64 {
 	const calls = 500
 	var done atomic.Int64
 	var wg sync.WaitGroup
@@ -124,7 +125,7 @@
 			defer wg.Done()
 			r, _ := http.NewRequest(http.MethodPost, c.hosts[i%3].API()+"/call/triage", strings.NewReader("x"))
 			r.Header.Set("Authorization", "Bearer lab.secret")
-			r.Header.Set(HeaderCallID, fmt.Sprintf("%s-%t-%d-%d", salt, idempotent, start.UnixNano(), i))
+			r.Header.Set(HeaderCallID, fmt.Sprintf("%s-%t-%d-%d", idPrefix, idempotent, start.UnixNano(), i))
 			r.Header.Set(HeaderIdempotent, strconv.FormatBool(idempotent))
 			r.Header.Set(HeaderTimeout, "1000")
 			resp, err := http.DefaultClient.Do(r)
--- a/internal/node/entry/gate_test.go
+++ b/internal/node/entry/gate_test.go
@@ -8,22 +8,22 @@
 	"lagooncourse/internal/plat/stream"
 )
 
-// gatedLog is a log that can be cut off.
-type gatedLog struct {
+// testLog is a log client that can be disconnected from the log.
+type testLog struct {
 	stream.Log
-	cut atomic.Bool
+	disconnected atomic.Bool
 }
 
-func (g *gatedLog) Append(ctx context.Context, name string, data []byte) (int64, error) {
-	if g.cut.Load() {
-		return 0, fault.New(fault.Unavailable, fault.NotRun, "the log is cut off")
+func (l *testLog) Append(ctx context.Context, name string, data []byte) (int64, error) {
+	if l.disconnected.Load() {
+		return 0, fault.New(fault.Unavailable, fault.NotRun, "the log is disconnected")
 	}
-	return g.Log.Append(ctx, name, data)
+	return l.Log.Append(ctx, name, data)
 }
 
-func (g *gatedLog) Read(ctx context.Context, req stream.ReadRequest) (stream.Page, error) {
-	if g.cut.Load() {
-		return stream.Page{}, fault.New(fault.Unavailable, fault.NotRun, "the log is cut off")
+func (l *testLog) Read(ctx context.Context, req stream.ReadRequest) (stream.Page, error) {
+	if l.disconnected.Load() {
+		return stream.Page{}, fault.New(fault.Unavailable, fault.NotRun, "the log is disconnected")
 	}
-	return g.Log.Read(ctx, req)
+	return l.Log.Read(ctx, req)
 }
--- a/internal/node/entry/jobs.go
+++ b/internal/node/entry/jobs.go
@@ -16,15 +16,15 @@
 	"lagooncourse/internal/node/wire"
 )
 
-// This file is the part of the API that concerns jobs.
+// This file implements the API for jobs.
 
-// postJob accepts a job. It answers once the job is in the log.
+// postJob accepts a job. It responds after the job has been written to the log.
 func (h *Host) postJob(r *http.Request) (j jobs.Job, err error) {
-	spec, err := httpd.ReadJSON[jobs.Spec](r, h.set.API.MaxBody)
+	spec, err := httpd.ReadJSON[jobs.Spec](r, h.settings.API.MaxBody)
 	if err != nil {
 		return j, err
 	}
-	team, err := h.team(r)
+	team, err := h.requestTeam(r)
 	if err != nil {
 		return j, err
 	}
@@ -38,33 +38,34 @@
 	if err := h.admit(spec); err != nil {
 		return j, err
 	}
-	name := homeOf(h.groupNames(), team, spec.Submission)
-	return withOwner(r.Context(), func(ctx context.Context) (jobs.Job, error) {
-		return toOwner(ctx, h, name, wire.Submit, wire.SubmitMsg{Group: name, Spec: spec}, submitAt)
+	name := homeGroup(h.groupNames(), team, spec.Submission)
+	return retryUntilOwner(r.Context(), func(ctx context.Context) (jobs.Job, error) {
+		return callOwner(ctx, h, name, wire.Submit, wire.SubmitMsg{Group: name, Spec: spec}, submitLocal)
 	})
 }
 
+// groupNames returns the sorted names of the groups in the newest host list.
 func (h *Host) groupNames() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return groupNames(h.list, h.set.Platform.GroupsInAz)
+	return groupNames(h.hostList, h.settings.Platform.GroupsInAz)
 }
 
-// admit returns an error for a job that its team may not run or that can never
-// run on the cell's workers.
+// admit returns an error for a job that is invalid, that its team may not run, or
+// that can never run on the workers of the cell.
 func (h *Host) admit(spec jobs.Spec) error {
 	if err := spec.Check(); err != nil {
 		return err
 	}
-	if err := h.allowed(spec.Team, "queue", spec.Queue); err != nil {
+	if err := h.checkAllowed(spec.Team, "queue", spec.Queue); err != nil {
 		return err
 	}
 	if spec.Az != "" {
-		if err := h.allowed(spec.Team, "az", spec.Az); err != nil {
+		if err := h.checkAllowed(spec.Team, "az", spec.Az); err != nil {
 			return err
 		}
 	}
-	limit := h.cell.State().Limit(spec.Team)
+	limit := h.follower.State().Limit(spec.Team)
 	need := spec.Size
 	if spec.Kind == jobs.Gang {
 		need = spec.Total()
@@ -75,48 +76,51 @@
 	return h.feasible(spec)
 }
 
+// infeasible returns an error for a job that can never run because of the given field.
 func infeasible(field string, value jobs.Size, detail string) error {
 	return &fault.Error{Code: fault.Infeasible, Ran: fault.NotRun, Field: field, Value: value.String(), Detail: detail}
 }
 
-// feasible returns an error if no worker in the host list could ever hold a
-// task of the job.
+// feasible returns an error if no worker in the host list is large enough for a task
+// of the job.
 func (h *Host) feasible(spec jobs.Spec) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if len(h.list.Workers) == 0 {
+	if len(h.hostList.Workers) == 0 {
 		return fault.New(fault.Unavailable, fault.NotRun, "this host has not read the host list yet").WithRetryAfter(1)
 	}
-	for _, w := range h.list.Workers {
+	for _, w := range h.hostList.Workers {
 		fits := spec.Size.Fits(jobs.Size{CPU: w.CPU, Mem: w.Mem, Accel: w.Accel})
 		if fits && (spec.Az == "" || spec.Az == w.Az) {
 			return nil
 		}
 	}
-	return infeasible("size", spec.Size, "fits no worker of the cell")
+	return infeasible("size", spec.Size, "no worker of the cell is large enough")
 }
 
-// getJob returns a job, once it has ended if the request asks to wait.
+// getJob returns a job. If the request sets waitMs, it responds when the job has
+// ended or the wait has expired.
 func (h *Host) getJob(r *http.Request) (a JobAnswer, err error) {
 	id, err := jobID(r)
 	if err != nil {
 		return a, err
 	}
-	waitMs, err := queryInt(r, "waitMs", maxWait.Milliseconds())
+	waitMs, err := queryInt(r, "waitMs", maxStatusWait.Milliseconds())
 	if err != nil {
 		return a, err
 	}
-	s, err := h.jobOf(r, id, waitMs)
+	s, err := h.readJob(r, id, waitMs)
 	return JobAnswer{Job: s.Job, State: s.Job.State(), Why: s.Why}, err
 }
 
-// JobAnswer is a job with its state as a whole and why it waits.
+// JobAnswer is a job with its overall state and the reasons why it is waiting.
 type JobAnswer struct {
 	jobs.Job
 	State jobs.State `json:"state"`
 	Why   []string   `json:"why,omitempty"`
 }
 
+// jobID returns the job id in the request's path.
 func jobID(r *http.Request) (jobs.ID, error) {
 	id := jobs.ID(pathvar.Vars(r)["id"])
 	if _, ok := id.Group(); !ok {
@@ -125,7 +129,8 @@
 	return id, nil
 }
 
-// queryInt parses a whole number of the query between 0 and most.
+// queryInt parses an integer query parameter between 0 and most. It returns 0 if the
+// parameter is missing.
 func queryInt(r *http.Request, name string, most int64) (int64, error) {
 	text := r.URL.Query().Get(name)
 	if text == "" {
@@ -138,42 +143,43 @@
 	return n, nil
 }
 
-// jobOf returns a job that the request may see: one of its own team, or any
-// for an operator.
-func (h *Host) jobOf(r *http.Request, id jobs.ID, waitMs int64) (s wire.StatusAnswer, err error) {
-	team, err := h.team(r)
-	if err != nil && h.operator(r) != nil {
+// readJob returns a job if the request may read it: the job belongs to the request's
+// team, or the request comes from an operator. It waits up to waitMs for the job's
+// end.
+func (h *Host) readJob(r *http.Request, id jobs.ID, waitMs int64) (s wire.StatusAnswer, err error) {
+	team, err := h.requestTeam(r)
+	if err != nil && h.checkOperator(r) != nil {
 		return s, err
 	}
-	s, err = withOwner(r.Context(), func(ctx context.Context) (wire.StatusAnswer, error) {
-		return toOwner(ctx, h, groupOfJob(id), wire.Status, wire.StatusMsg{Job: id}, (*owner.Group).Status)
+	s, err = retryUntilOwner(r.Context(), func(ctx context.Context) (wire.StatusAnswer, error) {
+		return callOwner(ctx, h, groupOfJob(id), wire.Status, wire.StatusMsg{Job: id}, (*owner.Group).Status)
 	})
 	if err != nil {
 		return s, err
 	}
-	if s.Job.Spec.Team != team && h.operator(r) != nil {
+	if s.Job.Spec.Team != team && h.checkOperator(r) != nil {
 		return wire.StatusAnswer{}, fault.New(fault.Denied, fault.NotRun, "job %q belongs to another team", id)
 	}
-	return h.await(r.Context(), s, waitMs)
+	return h.waitForEnd(r.Context(), s, waitMs)
 }
 
-// await waits for the job's end. It asks again when the group's owner changes
-// in between.
-func (h *Host) await(ctx context.Context, s wire.StatusAnswer, waitMs int64) (wire.StatusAnswer, error) {
+// waitForEnd waits up to waitMs for the job's end. It retries when the group's owner
+// fails or changes during the wait.
+func (h *Host) waitForEnd(ctx context.Context, s wire.StatusAnswer, waitMs int64) (wire.StatusAnswer, error) {
 	deadline := h.clock.Now().Add(time.Duration(waitMs) * time.Millisecond)
 	for !s.Job.Ended() {
 		left := deadline.Sub(h.clock.Now()).Milliseconds()
 		if left <= 0 {
 			return s, nil
 		}
-		msg := wire.StatusMsg{Job: s.Job.ID, WaitMs: min(left, statusWait.Milliseconds())}
-		next, err := toOwner(ctx, h, groupOfJob(s.Job.ID), wire.Status, msg, (*owner.Group).Status)
+		msg := wire.StatusMsg{Job: s.Job.ID, WaitMs: min(left, maxOwnerStatusWait.Milliseconds())}
+		next, err := callOwner(ctx, h, groupOfJob(s.Job.ID), wire.Status, msg, (*owner.Group).Status)
 		if err == nil {
 			s = next
 			continue
 		}
 		select {
-		case <-time.After(ownerRetry):
+		case <-time.After(ownerRetryInterval):
 		case <-ctx.Done():
 			return s, nil
 		}
@@ -181,20 +187,21 @@
 	return s, nil
 }
 
-// statusWait bounds one wait at a group's owner, so that a dead owner is
-// noticed.
-const statusWait = 2 * time.Second
+// maxOwnerStatusWait limits a single wait at a group's owner, so that the failure of
+// an owner is detected.
+const maxOwnerStatusWait = 2 * time.Second
 
+// postCancel cancels a job.
 func (h *Host) postCancel(r *http.Request) (a JobAnswer, err error) {
 	id, err := jobID(r)
 	if err != nil {
 		return a, err
 	}
-	if _, err := h.jobOf(r, id, 0); err != nil {
+	if _, err := h.readJob(r, id, 0); err != nil {
 		return a, err
 	}
-	j, err := withOwner(r.Context(), func(ctx context.Context) (jobs.Job, error) {
-		return toOwner(ctx, h, groupOfJob(id), wire.Cancel, wire.CancelMsg{Job: id}, cancelAt)
+	j, err := retryUntilOwner(r.Context(), func(ctx context.Context) (jobs.Job, error) {
+		return callOwner(ctx, h, groupOfJob(id), wire.Cancel, wire.CancelMsg{Job: id}, cancelLocal)
 	})
 	return JobAnswer{Job: j, State: j.State()}, err
 }
@@ -204,11 +211,12 @@
 	Jobs []JobAnswer `json:"jobs"`
 }
 
-// getJobs lists jobs: those of the key's team, or of all teams for an operator.
+// getJobs lists the jobs of the request's team, or of all teams if an operator sends
+// the request without a key.
 func (h *Host) getJobs(r *http.Request) (l JobList, err error) {
 	team := ""
-	if h.operator(r) != nil || bearer(r) != "" {
-		if team, err = h.team(r); err != nil {
+	if h.checkOperator(r) != nil || bearerToken(r) != "" {
+		if team, err = h.requestTeam(r); err != nil {
 			return l, err
 		}
 	}
@@ -216,7 +224,7 @@
 	state := jobs.State(r.URL.Query().Get("state"))
 	for _, name := range h.groupNames() {
 		msg := wire.ListMsg{Group: name, Team: team, State: state, Max: maxListJobs}
-		a, err := toOwner(r.Context(), h, name, wire.List, msg, (*owner.Group).List)
+		a, err := callOwner(r.Context(), h, name, wire.List, msg, (*owner.Group).List)
 		if err != nil {
 			return l, err
 		}
--- a/internal/node/entry/metrics.go
+++ b/internal/node/entry/metrics.go
@@ -9,8 +9,8 @@
 	"lagooncourse/internal/base/fault"
 )
 
-// metrics is the host's registry. Gauges are read from the host when they are
-// scraped, so nothing is counted twice.
+// metrics holds the metrics of a host. Gauges and group metrics are read from the
+// host at each scrape and are not stored separately.
 type metrics struct {
 	registry *prometheus.Registry
 	requests *prometheus.CounterVec
@@ -30,40 +30,41 @@
 		}, []string{"service", "ran"}),
 	}
 	m.registry.MustRegister(m.requests, m.calls)
-	m.gauge("cell_age_seconds", "Time since the configuration was known to be complete.", func() float64 {
-		age, _ := h.cell.Age()
+	m.registerGauge("cell_age_seconds", "Time since the configuration was known to be complete.", func() float64 {
+		age, _ := h.follower.Age()
 		return age.Seconds()
 	})
-	m.gauge("cell_next_offset", "Next offset of the configuration stream to read.", func() float64 {
-		_, next := h.cell.Age()
+	m.registerGauge("cell_next_offset", "Next offset of the configuration stream to read.", func() float64 {
+		_, next := h.follower.Age()
 		return float64(next)
 	})
-	m.gauge("live_hosts", "Entry hosts that are alive, this one included.", func() float64 {
+	m.registerGauge("live_hosts", "Entry hosts that are alive, this one included.", func() float64 {
 		return float64(len(h.table.Live(h.clock.Now())))
 	})
-	m.gauge("peer_control_bytes_out_total", "Bytes of membership and configuration sent to entry hosts.", func() float64 {
+	m.registerGauge("peer_control_bytes_out_total", "Bytes of membership and configuration sent to entry hosts.", func() float64 {
 		return float64(h.traffic().Control.Out)
 	})
-	m.gauge("peer_work_bytes_out_total", "Bytes of jobs and calls sent to entry hosts.", func() float64 {
+	m.registerGauge("peer_work_bytes_out_total", "Bytes of jobs and calls sent to entry hosts.", func() float64 {
 		return float64(h.traffic().Work.Out)
 	})
 	m.registry.MustRegister(&groupCollector{h: h})
 	return m
 }
 
-func (m *metrics) gauge(name, help string, read func() float64) {
+// registerGauge registers a gauge whose value is read at each scrape.
+func (m *metrics) registerGauge(name, help string, read func() float64) {
 	m.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Namespace: metricPrefix, Name: name, Help: help,
 	}, read))
 }
 
-// called counts a call by its outcome.
-func (m *metrics) called(service string, ran fault.Outcome) {
+// countCall counts a call by service and outcome.
+func (m *metrics) countCall(service string, ran fault.Outcome) {
 	m.calls.WithLabelValues(service, string(ran)).Inc()
 }
 
-// count wraps a handler so that its answers are counted by status.
-func (m *metrics) count(route string, fn http.HandlerFunc) http.HandlerFunc {
+// countRequests wraps a handler to count its responses by route and status.
+func (m *metrics) countRequests(route string, fn http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		sw := &statusWriter{ResponseWriter: w, status: http.StatusOK}
 		fn(sw, r)
@@ -71,21 +72,22 @@
 	}
 }
 
-// statusWriter remembers the status of an answer.
+// statusWriter records the status of a response.
 type statusWriter struct {
 	http.ResponseWriter
 	status int
 }
 
+// WriteHeader implements http.ResponseWriter.
 func (w *statusWriter) WriteHeader(status int) {
 	w.status = status
 	w.ResponseWriter.WriteHeader(status)
 }
 
-// Unwrap gives the response controller access to the underlying writer.
+// Unwrap returns the underlying writer, for http.ResponseController.
 func (w *statusWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-// groupCollector reports the groups that the host owns.
+// groupCollector collects the metrics of the groups that the host owns.
 type groupCollector struct{ h *Host }
 
 var _ prometheus.Collector = (*groupCollector)(nil)
@@ -111,8 +113,8 @@
 
 // Collect implements prometheus.Collector.
 func (c *groupCollector) Collect(ch chan<- prometheus.Metric) {
-	for _, og := range c.h.ownGroups() {
-		d := og.g.Dump()
+	for _, lg := range c.h.localGroups() {
+		d := lg.g.Dump()
 		if d.Epoch == 0 {
 			continue
 		}
--- a/internal/node/peers/peers.go
+++ b/internal/node/peers/peers.go
@@ -1,22 +1,23 @@
-// Package peers keeps the table of entry hosts: who is alive, who owns which
-// group, and what each last said about its load.
+// Package peers implements the membership table of entry hosts: which hosts are
+// alive, which host owns which group, and the last reported load of each host.
 //
-// There is no agreement on membership and none is needed. The table decides
-// only when to try a takeover and where to send a request; what keeps a wrong
-// guess harmless are the epochs in the log and the fencing tokens at the
-// workers. Each host raises its own heartbeat and exchanges tables with a
-// random peer at every interval, so the cost for each host does not grow with
-// the square of their number.
+// Membership is spread by gossip and is not agreed on by consensus. The table only
+// determines when to attempt a takeover and where to send a request. A wrong
+// decision is harmless because of the epochs in the log and the fencing tokens at
+// the workers. At every interval each host increments its own heartbeat and
+// exchanges tables with one random peer, so the number of messages per host does
+// not depend on the number of hosts.
 //
-// What changes all the time, the heartbeats, is kept apart from the members'
-// descriptions. An exchange carries all heartbeats and only those descriptions
-// that the other side lacks, and a description changes at most once in
-// DescribeEvery unless the groups of its host do.
+// Heartbeats change at every interval and are kept apart from the member
+// descriptions. An exchange carries all heartbeats, but only those descriptions
+// that the other side lacks. A description changes at most once per
+// MinDescriptionInterval, unless the groups, the number of pools or the leaving flag of
+// its host change.
 //
 // # Usage
 //
 //	t := peers.NewTable(peers.Config{Self: member, SuspectAfter: 2 * time.Second})
-//	t.Beat(peers.Report{Member: m, CellNext: next}, now)
+//	t.AdvanceHeartbeat(peers.LocalState{Member: m, ConfigNext: next}, now)
 //	answer := t.Merge(msg, now)
 //	owner, ok := t.Owner("az1-0")
 package peers
@@ -35,29 +36,30 @@
 
 // Config describes a Table.
 type Config struct {
-	Self          wire.Member
-	SuspectAfter  time.Duration // without a new heartbeat a member counts as dead
-	ForgetAfter   time.Duration // then it disappears from the table
-	DescribeEvery time.Duration // least time between two descriptions of changed load
+	Self                   wire.Member
+	SuspectAfter           time.Duration // time without a new heartbeat after which a member counts as dead
+	ForgetAfter            time.Duration // time without a new heartbeat after which a member is removed
+	MinDescriptionInterval time.Duration // minimum interval between two descriptions when only the load changes
 }
 
-// Table is the table of one entry host.
+// Table is the membership table of one entry host. It is safe for concurrent use.
 type Table struct {
 	cfg Config
 
 	mu          sync.Mutex
 	self        wire.Member
-	beat        wire.Beat
+	heartbeat   wire.Heartbeat
 	describedAt time.Time
-	members     map[string]*seen // without self
-	owners      map[string]Owner
+	members     map[string]*memberState // by id, without self
+	owners      map[string]Owner        // by group
 }
 
-// seen is a member with the local time of its newest heartbeat.
-type seen struct {
-	m    wire.Member
-	beat wire.Beat
-	at   time.Time
+// memberState is another host's description and newest heartbeat, with the local time
+// at which the heartbeat was received.
+type memberState struct {
+	m          wire.Member
+	heartbeat  wire.Heartbeat
+	receivedAt time.Time
 }
 
 // Owner is the newest known owner of a group.
@@ -66,60 +68,63 @@
 	Addr  string
 	Epoch uint64
 
-	notedAt time.Time // when the log named it; zero if it said so itself
+	claimReadAt time.Time // when the claim was read from the log; zero if the owner announced itself
 }
 
-// Peer is a live member with its newest heartbeat, brought up to the present.
+// Peer is a live member with its newest heartbeat. LogAge includes the time since
+// the heartbeat was received.
 type Peer struct {
 	wire.Member
-	CellNext int64         `json:"cellNext"`
-	LogAge   time.Duration `json:"logAgeNs"` // since it read the end of the configuration from the log
+	ConfigNext int64         `json:"cellNext"` // next offset that it will read from the configuration stream
+	LogAge     time.Duration `json:"logAgeNs"` // time since it last read the end of the configuration stream from the log
 }
 
-// Report is what a host says about itself at a heartbeat.
-type Report struct {
-	Member   wire.Member // Boot, Version and the addresses are not used
-	CellNext int64
-	LogAge   time.Duration // since it read the end of the configuration from the log
+// LocalState is the state of the local host that a heartbeat carries.
+type LocalState struct {
+	Member     wire.Member   // ID, Az, Boot, Version and the addresses are ignored
+	ConfigNext int64         // next offset to read from the configuration stream
+	LogAge     time.Duration // time since this host last read the end of the configuration stream from the log
 }
 
-// NewTable returns a table that knows only its own host.
+// NewTable returns a table that contains only the local host.
 func NewTable(cfg Config) *Table {
-	t := &Table{cfg: cfg, self: cfg.Self, members: map[string]*seen{}, owners: map[string]Owner{}}
-	t.self.Version = 1 // 0 stands for a description that was never received
-	t.beat = wire.Beat{ID: cfg.Self.ID, Boot: cfg.Self.Boot, Version: t.self.Version}
+	t := &Table{cfg: cfg, self: cfg.Self, members: map[string]*memberState{}, owners: map[string]Owner{}}
+	t.self.Version = 1 // 0 means that no description was received
+	t.heartbeat = wire.Heartbeat{ID: cfg.Self.ID, Boot: cfg.Self.Boot, Version: t.self.Version}
 	return t
 }
 
-// Beat raises the host's own heartbeat.
-func (t *Table) Beat(r Report, now time.Time) {
+// AdvanceHeartbeat increments the local heartbeat, updates the local description and
+// removes members without a new heartbeat for longer than ForgetAfter.
+func (t *Table) AdvanceHeartbeat(r LocalState, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.beat.Beat++
-	t.beat.CellNext, t.beat.LogAgeMs = r.CellNext, r.LogAge.Milliseconds()
-	t.describe(r.Member, now)
+	t.heartbeat.Seq++
+	t.heartbeat.ConfigNext, t.heartbeat.LogAgeMs = r.ConfigNext, r.LogAge.Milliseconds()
+	t.updateDescription(r.Member, now)
 	for id, s := range t.members {
-		if now.Sub(s.at) > t.cfg.ForgetAfter {
+		if now.Sub(s.receivedAt) > t.cfg.ForgetAfter {
 			delete(t.members, id)
 		}
 	}
 }
 
-// describe takes a new description of this host, if it is due. The caller
-// holds the lock.
-func (t *Table) describe(m wire.Member, now time.Time) {
+// updateDescription replaces the description of the local host if an update is due. The
+// caller must hold t.mu.
+func (t *Table) updateDescription(m wire.Member, now time.Time) {
 	m.ID, m.Addr, m.API, m.Az = t.self.ID, t.self.Addr, t.self.API, t.self.Az
 	m.Boot, m.Version = t.self.Boot, t.self.Version
-	due := now.Sub(t.describedAt) >= t.cfg.DescribeEvery && !reflect.DeepEqual(m, t.self)
+	due := now.Sub(t.describedAt) >= t.cfg.MinDescriptionInterval && !reflect.DeepEqual(m, t.self)
 	if !due && m.Leaving == t.self.Leaving && sameEpochs(m.Groups, t.self.Groups) && len(m.Pools) == len(t.self.Pools) {
 		return
 	}
 	m.Version++
 	t.self, t.describedAt = m, now
-	t.beat.Version = m.Version
-	t.learn(m)
+	t.heartbeat.Version = m.Version
+	t.recordOwners(m)
 }
 
+// sameEpochs reports whether a and b list the same groups with the same epochs.
 func sameEpochs(a, b []wire.Duty) bool {
 	if len(a) != len(b) {
 		return false
@@ -136,20 +141,20 @@
 	return true
 }
 
-// Self returns the host's own description.
+// Self returns the description of the local host.
 func (t *Table) Self() wire.Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.self
 }
 
-// Message returns what to send to the peer at addr: all heartbeats, and this
-// host's description if it does not know the peer. Known peers ask for a
-// description by the version in their own heartbeats.
+// Message returns the message for the peer at addr: all heartbeats, and the local
+// description if the peer is not in the table. A peer in the table receives it in
+// response to its own messages, whose versions show which descriptions it lacks.
 func (t *Table) Message(addr string, now time.Time) wire.GossipMsg {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	msg := wire.GossipMsg{Beats: t.beats(now)}
+	msg := wire.GossipMsg{Heartbeats: t.liveHeartbeats(now)}
 	for _, s := range t.members {
 		if s.m.Addr == addr {
 			return msg
@@ -159,68 +164,70 @@
 	return msg
 }
 
-// Announcement returns this host's description alone, for the moment at which
-// its groups have changed.
+// Announcement returns a message with only the local heartbeat and description. It
+// is sent when the groups of the local host have changed.
 func (t *Table) Announcement() wire.GossipMsg {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return wire.GossipMsg{Beats: []wire.Beat{t.beat}, Members: []wire.Member{t.self}}
+	return wire.GossipMsg{Heartbeats: []wire.Heartbeat{t.heartbeat}, Members: []wire.Member{t.self}}
 }
 
-// beats lists the live members' heartbeats. Dead ones are left out, so that
-// they are not passed round for ever. The caller holds the lock.
-func (t *Table) beats(now time.Time) []wire.Beat {
-	beats := []wire.Beat{t.beat}
+// liveHeartbeats returns the heartbeats of the live members. Those of dead members are left
+// out, because otherwise they would circulate forever. The caller must hold t.mu.
+func (t *Table) liveHeartbeats(now time.Time) []wire.Heartbeat {
+	beats := []wire.Heartbeat{t.heartbeat}
 	for _, s := range t.members {
 		if t.alive(s, now) {
-			beats = append(beats, s.present(now))
+			beats = append(beats, s.current(now))
 		}
 	}
 	return beats
 }
 
-// present returns the heartbeat with its ages brought up to the present.
-func (s *seen) present(now time.Time) wire.Beat {
-	b := s.beat
-	b.LogAgeMs += now.Sub(s.at).Milliseconds()
+// current returns the heartbeat with LogAgeMs increased by the time since it was
+// received.
+func (s *memberState) current(now time.Time) wire.Heartbeat {
+	b := s.heartbeat
+	b.LogAgeMs += now.Sub(s.receivedAt).Milliseconds()
 	return b
 }
 
-// Merge takes a peer's message and returns the answer: the heartbeats and
-// descriptions that the peer lacks.
+// Merge merges a peer's message into the table and returns the response: the
+// heartbeats and descriptions that the peer lacks.
 func (t *Table) Merge(msg wire.GossipMsg, now time.Time) wire.GossipMsg {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, m := range msg.Members {
-		t.takeMember(m, now)
+		t.mergeMember(m, now)
 	}
-	known := map[string]wire.Beat{}
-	for _, b := range msg.Beats {
+	known := map[string]wire.Heartbeat{}
+	for _, b := range msg.Heartbeats {
 		known[b.ID] = b
-		t.takeBeat(b, now)
+		t.mergeHeartbeat(b, now)
 	}
 	var answer wire.GossipMsg
-	add := func(m wire.Member, b wire.Beat) {
+	add := func(m wire.Member, b wire.Heartbeat) {
 		k := known[b.ID]
 		if b.Newer(k) {
-			answer.Beats = append(answer.Beats, b)
+			answer.Heartbeats = append(answer.Heartbeats, b)
 		}
 		if b.Boot > k.Boot || m.Version > k.Version {
 			answer.Members = append(answer.Members, m)
 		}
 	}
-	add(t.self, t.beat)
+	add(t.self, t.heartbeat)
 	for _, s := range t.members {
 		if t.alive(s, now) {
-			add(s.m, s.present(now))
+			add(s.m, s.current(now))
 		}
 	}
 	return answer
 }
 
-// takeMember enters a description, unless a newer one is known. A member that
-// was not known counts as heard now.
-func (t *Table) takeMember(m wire.Member, now time.Time) {
+// mergeMember stores a description, unless the table has the same or a newer one. A
+// member that is new to the table or has restarted counts as alive from now. The
+// caller must hold t.mu.
+func (t *Table) mergeMember(m wire.Member, now time.Time) {
 	if m.ID == t.self.ID {
 		return
 	}
@@ -229,26 +236,27 @@
 		return
 	}
 	if s == nil || m.Boot > s.m.Boot {
-		s = &seen{at: now, beat: wire.Beat{ID: m.ID, Boot: m.Boot}}
+		s = &memberState{receivedAt: now, heartbeat: wire.Heartbeat{ID: m.ID, Boot: m.Boot}}
 		t.members[m.ID] = s
 	}
-	s.m, s.beat.Version = m, m.Version
-	t.learn(m)
+	s.m, s.heartbeat.Version = m, m.Version
+	t.recordOwners(m)
 }
 
-// takeBeat enters a heartbeat of a member whose description is known.
-func (t *Table) takeBeat(b wire.Beat, now time.Time) {
+// mergeHeartbeat stores a heartbeat if it is newer and the description of its member is
+// in the table. The caller must hold t.mu.
+func (t *Table) mergeHeartbeat(b wire.Heartbeat, now time.Time) {
 	s := t.members[b.ID]
-	if s == nil || b.Boot != s.m.Boot || !b.Newer(s.beat) {
+	if s == nil || b.Boot != s.m.Boot || !b.Newer(s.heartbeat) {
 		return
 	}
 	b.Version = s.m.Version
-	s.beat, s.at = b, now
+	s.heartbeat, s.receivedAt = b, now
 }
 
-// learn notes the member's groups. The highest epoch wins, because only one
-// host ever held it.
-func (t *Table) learn(m wire.Member) {
+// recordOwners records the member as the owner of its groups. The highest epoch wins,
+// because each epoch has exactly one owner. The caller must hold t.mu.
+func (t *Table) recordOwners(m wire.Member) {
 	for _, d := range m.Groups {
 		if o, ok := t.owners[d.Group]; !ok || d.Epoch >= o.Epoch {
 			t.owners[d.Group] = Owner{Host: m.ID, Addr: m.Addr, Epoch: d.Epoch}
@@ -256,21 +264,25 @@
 	}
 }
 
-func (t *Table) alive(s *seen, now time.Time) bool { return now.Sub(s.at) <= t.cfg.SuspectAfter }
+// alive reports whether the member's newest heartbeat is recent enough.
+func (t *Table) alive(s *memberState, now time.Time) bool {
+	return now.Sub(s.receivedAt) <= t.cfg.SuspectAfter
+}
 
-// Note enters the holder of a group that the log names. A host that has just
-// claimed a group has not yet told its peers, so it counts as alive for a while.
-func (t *Table) Note(group string, o Owner, now time.Time) {
+// RecordClaim records a group's owner as read from the log, unless the same or a newer
+// epoch is recorded already. A host that has just claimed a group has not announced it yet, so
+// HasLiveOwner returns true for the group during SuspectAfter/2.
+func (t *Table) RecordClaim(group string, o Owner, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if old, ok := t.owners[group]; ok && old.Epoch >= o.Epoch {
 		return
 	}
-	o.notedAt = now
+	o.claimReadAt = now
 	t.owners[group] = o
 }
 
-// Owner returns the newest known owner of a group, alive or not.
+// Owner returns the newest known owner of a group, whether alive or not.
 func (t *Table) Owner(group string) (Owner, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -278,37 +290,38 @@
 	return o, ok
 }
 
-// Live returns the members that are alive and not leaving, this host included,
-// sorted by id.
+// Live returns the members that are alive and not leaving, including the local
+// host, sorted by id.
 func (t *Table) Live(now time.Time) []Peer {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var list []Peer
-	add := func(m wire.Member, b wire.Beat) {
+	add := func(m wire.Member, b wire.Heartbeat) {
 		if !m.Leaving {
-			list = append(list, Peer{Member: m, CellNext: b.CellNext, LogAge: time.Duration(b.LogAgeMs) * time.Millisecond})
+			list = append(list, Peer{Member: m, ConfigNext: b.ConfigNext, LogAge: time.Duration(b.LogAgeMs) * time.Millisecond})
 		}
 	}
-	add(t.self, t.beat)
+	add(t.self, t.heartbeat)
 	for _, s := range t.members {
 		if t.alive(s, now) {
-			add(s.m, s.present(now))
+			add(s.m, s.current(now))
 		}
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].ID < list[j].ID })
 	return list
 }
 
-// Holds reports whether a live member, leaving or not, says that it owns the
-// group at the newest known epoch.
-func (t *Table) Holds(group string, now time.Time) bool {
+// HasLiveOwner reports whether the group has a live owner: a live member, leaving or not,
+// that lists the group at the newest known epoch, or a host whose claim was read
+// from the log no longer than SuspectAfter/2 ago.
+func (t *Table) HasLiveOwner(group string, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	o, ok := t.owners[group]
 	if !ok {
 		return false
 	}
-	if now.Sub(o.notedAt) <= t.cfg.SuspectAfter/2 {
+	if now.Sub(o.claimReadAt) <= t.cfg.SuspectAfter/2 {
 		return true
 	}
 	m := t.self
@@ -327,48 +340,51 @@
 	return false
 }
 
-// Silence reports how the table's members stand towards the log: whether some
-// member that has not left is silent, and the lowest age of the configuration
-// among those that are heard, this host excluded.
-func (t *Table) Silence(now time.Time) (silent bool, freshest time.Duration, heard int) {
+// PeerSummary summarizes the state of the other members that are not leaving: whether
+// any of them is suspected dead, the lowest LogAge of the live ones, and the number
+// of live ones. Without live ones, minLogAge is the maximum duration.
+func (t *Table) PeerSummary(now time.Time) (suspected bool, minLogAge time.Duration, live int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	freshest = time.Duration(1<<63 - 1)
+	minLogAge = time.Duration(1<<63 - 1)
 	for _, s := range t.members {
 		if s.m.Leaving {
 			continue
 		}
 		if !t.alive(s, now) {
-			silent = true
+			suspected = true
 			continue
 		}
-		heard++
-		freshest = min(freshest, time.Duration(s.present(now).LogAgeMs)*time.Millisecond)
+		live++
+		minLogAge = min(minLogAge, time.Duration(s.current(now).LogAgeMs)*time.Millisecond)
 	}
-	return silent, freshest, heard
+	return suspected, minLogAge, live
 }
 
-// Pick returns up to n addresses of random live members other than this host.
-func (t *Table) Pick(n int, r *rand.Rand, now time.Time) []string {
-	return t.pick(n, r, func(s *seen) bool { return t.alive(s, now) })
+// PickLive returns the addresses of up to n random live members, excluding the local
+// host.
+func (t *Table) PickLive(n int, r *rand.Rand, now time.Time) []string {
+	return t.pick(n, r, func(s *memberState) bool { return t.alive(s, now) })
 }
 
-// silentOdds is one in how many exchanges tries a silent member too.
-const silentOdds = 8
-
-// Partners returns whom to exchange messages with in one round: a live member,
-// and now and then a silent one, always if none is alive. Without it two sides of
-// a split that has healed would never hear of each other.
-func (t *Table) Partners(r *rand.Rand, now time.Time) []string {
-	addrs := t.Pick(1, r, now)
-	if len(addrs) == 0 || r.IntN(silentOdds) == 0 {
-		addrs = append(addrs, t.pick(1, r, func(s *seen) bool { return !t.alive(s, now) })...)
+// suspectContactOdds is the number of rounds per contact attempt with a suspected member,
+// on average.
+const suspectContactOdds = 8
+
+// GossipPartners returns the addresses of the members to exchange messages with in one
+// round: a random live member and, in one of suspectContactOdds rounds or if no member is
+// alive, a random suspected one. Without the suspected ones, the two sides of a network
+// partition would not find each other again after it has healed.
+func (t *Table) GossipPartners(r *rand.Rand, now time.Time) []string {
+	addrs := t.PickLive(1, r, now)
+	if len(addrs) == 0 || r.IntN(suspectContactOdds) == 0 {
+		addrs = append(addrs, t.pick(1, r, func(s *memberState) bool { return !t.alive(s, now) })...)
 	}
 	return addrs
 }
 
-// pick returns up to n addresses of random members that match.
-func (t *Table) pick(n int, r *rand.Rand, match func(*seen) bool) []string {
+// pick returns the addresses of up to n random members that match.
+func (t *Table) pick(n int, r *rand.Rand, match func(*memberState) bool) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var addrs []string
@@ -382,10 +398,10 @@
 	return addrs[:min(n, len(addrs))]
 }
 
-// Order returns the members in the order in which they should own the group:
-// those of the group's availability zone first, and within each part by
-// rendezvous hash. When one host goes, only its groups move.
-func Order(group, az string, live []Peer) []Peer {
+// PreferenceOrder returns the members in order of preference as owners of the group:
+// those in the group's availability zone first, then the others, each sorted by rendezvous
+// hash. When a host fails, only the groups that it owned move.
+func PreferenceOrder(group, az string, live []Peer) []Peer {
 	type ranked struct {
 		m     Peer
 		local bool
--- a/internal/node/route/pool.go
+++ b/internal/node/route/pool.go
@@ -1,16 +1,16 @@
-// Package route carries calls to the targets of services.
+// Package route routes calls to the targets of services.
 //
-// Two parts work together. A Pool is the set of targets of one group and one
-// service; the entry host that is responsible for the group sends all calls to
-// them, so it knows which of their slots are taken without asking anybody. A
-// Router runs on the host that took the call. It knows from gossip how loaded
-// the pools were a moment ago, picks one of two random pools, prefers its own
-// availability zone, and forwards the call to the pool's host.
+// A Pool is the set of targets of one service in one group. The entry host that
+// serves a pool sends all calls to its targets, so it tracks their free slots
+// locally. A Router runs on the host that received the call. It chooses the less
+// loaded of two random pools, by the load that gossip last reported and with a
+// preference for its own availability zone, and forwards the call to the host that
+// serves the pool.
 //
-// Responsibility for a pool follows the table of live hosts and not the log, so
-// calls go on while the log is down. Two hosts may for a moment both feel
-// responsible. That is harmless: an executor refuses a call that finds no free
-// slot, and says truthfully that it did not run.
+// The host that serves a pool is determined by the table of live hosts and not by
+// the log, so calls continue while the log is down. Two hosts may briefly serve the
+// same pool. This is harmless: an executor rejects a call for which it has no free
+// slot and reports that the call did not run.
 //
 // # Usage
 //
@@ -40,242 +40,251 @@
 	Clock   clock.Clock
 }
 
-// Pool sends calls to the targets of one service in one group.
+// Pool sends calls to the targets of one service in one group. It is safe for
+// concurrent use.
 type Pool struct {
 	cfg PoolConfig
 
-	mu      sync.Mutex
-	targets map[string]*member
-	waiting []chan *member // oldest first; a closed pool closes them
-	taken   uint64         // slots taken so far
-	busy    int
-	closed  bool
+	mu       sync.Mutex
+	targets  map[string]*poolTarget
+	queue    []chan *poolTarget // channels of the queued calls, oldest first; Close closes them
+	acquired uint64             // number of slots acquired since the start
+	busy     int                // slots in use
+	closed   bool
 }
 
-// member is one target with the calls that this pool has on it.
-type member struct {
-	host     hosts.Target
-	t        target.Target
-	busy     int
-	failures int       // in a row
-	lastTake uint64    // orders targets by their last call
-	restAt   time.Time // takes no calls before
+// poolTarget is a target of the pool and its state.
+type poolTarget struct {
+	info         hosts.Target
+	client       target.Target
+	busy         int       // slots in use
+	failures     int       // consecutive failed calls
+	lastAcquired uint64    // value of Pool.acquired when its slot was last acquired
+	ejectedUntil time.Time // end of the ejection: no calls are sent before
 }
 
+// Limits of a pool.
 const (
-	maxQueuePerSlot = 4 // calls that wait, for each slot of the pool
-	failuresToRest  = 3
-	restTime        = 2 * time.Second
+	maxQueuePerSlot = 4 // queued calls per available slot
+	failuresToEject = 3 // consecutive failures that eject a target
+	ejectionTime    = 2 * time.Second
 )
 
 // NewPool returns a pool without targets.
 func NewPool(cfg PoolConfig) *Pool {
-	return &Pool{cfg: cfg, targets: map[string]*member{}}
+	return &Pool{cfg: cfg, targets: map[string]*poolTarget{}}
 }
 
-// SetTargets takes the pool's part of the host list. A target that is leaving
-// or gone gets no new call; the calls on it are left to end.
+// SetTargets replaces the targets of the pool. A target that is leaving or no longer
+// listed gets no new calls; its calls in flight continue.
 func (p *Pool) SetTargets(list []hosts.Target) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	listed := map[string]bool{}
 	for _, h := range list {
 		listed[h.ID] = true
-		m := p.targets[h.ID]
-		if m == nil || m.host.URL != h.URL {
-			m = &member{t: p.cfg.Dial(h)}
-			p.targets[h.ID] = m
+		t := p.targets[h.ID]
+		if t == nil || t.info.URL != h.URL {
+			t = &poolTarget{client: p.cfg.Dial(h)}
+			p.targets[h.ID] = t
 		}
-		m.host = h
+		t.info = h
 	}
-	for id, m := range p.targets {
+	for id, t := range p.targets {
 		if !listed[id] {
-			m.host.State = hosts.Leaving
-			if m.busy == 0 {
+			t.info.State = hosts.Leaving
+			if t.busy == 0 {
 				delete(p.targets, id)
 			}
 		}
 	}
-	p.hand()
+	p.assignQueued()
 }
 
-// Load describes the pool for peers.
+// Load returns the state of the pool that gossip reports to peers.
 func (p *Pool) Load() wire.Pool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	w := wire.Pool{Group: p.cfg.Group, Az: p.cfg.Az, Service: p.cfg.Service, Busy: p.busy, Queued: len(p.waiting)}
+	w := wire.Pool{Group: p.cfg.Group, Az: p.cfg.Az, Service: p.cfg.Service, Busy: p.busy, Queued: len(p.queue)}
 	w.Slots = p.slots()
 	return w
 }
 
-// slots counts the slots of targets that take calls. The caller holds the lock.
+// slots returns the number of slots of the available targets. The caller must hold
+// p.mu.
 func (p *Pool) slots() int {
 	n := 0
 	now := p.cfg.Clock.Now()
-	for _, m := range p.targets {
-		if m.open(now) {
-			n += m.host.Slots
+	for _, t := range p.targets {
+		if t.available(now) {
+			n += t.info.Slots
 		}
 	}
 	return n
 }
 
-func (m *member) open(now time.Time) bool {
-	return m.host.State != hosts.Leaving && !now.Before(m.restAt)
+// available reports whether the target is available for new calls: neither leaving nor
+// ejected.
+func (t *poolTarget) available(now time.Time) bool {
+	return t.info.State != hosts.Leaving && !now.Before(t.ejectedUntil)
 }
 
-// Serve sends one call to one target, once, and returns its whole answer. It
-// waits for a free slot until ctx ends. Errors are *fault.Error.
+// Serve sends a call to one target, without retries, and returns the complete
+// response. If no slot is free, the call is queued until ctx ends. Errors are of
+// type *fault.Error.
 func (p *Pool) Serve(ctx context.Context, msg wire.CallMsg) (a wire.CallAnswer, err error) {
-	m, err := p.acquire(ctx)
+	t, err := p.acquire(ctx)
 	if err != nil {
 		return a, err
 	}
-	answer, err := m.t.Call(ctx, target.Request{ID: msg.ID, Service: msg.Service, Body: msg.Body})
-	p.release(m, err)
+	answer, err := t.client.Call(ctx, target.Request{ID: msg.ID, Service: msg.Service, Body: msg.Body})
+	p.release(t, err)
 	if err != nil {
 		return a, err
 	}
 	return wire.CallAnswer{Status: answer.Status, Body: answer.Body, Ran: fault.Done}, nil
 }
 
-// acquire takes a slot of the least loaded target, or waits for one.
-func (p *Pool) acquire(ctx context.Context) (*member, error) {
+// acquire acquires a slot of the target with the most free slots, or waits for one.
+func (p *Pool) acquire(ctx context.Context) (*poolTarget, error) {
 	p.mu.Lock()
-	if m := p.pick(); m != nil {
-		p.take(m)
+	if t := p.pick(); t != nil {
+		p.takeSlot(t)
 		p.mu.Unlock()
-		return m, nil
+		return t, nil
 	}
 	slots := p.slots()
-	if p.closed || slots == 0 || len(p.waiting) >= maxQueuePerSlot*slots {
+	if p.closed || slots == 0 || len(p.queue) >= maxQueuePerSlot*slots {
 		p.mu.Unlock()
 		return nil, fault.New(fault.Overload, fault.NotRun, "service %q has no free slot in group %q", p.cfg.Service, p.cfg.Group).WithRetryAfter(1)
 	}
-	ch := make(chan *member, 1)
-	p.waiting = append(p.waiting, ch)
+	ch := make(chan *poolTarget, 1)
+	p.queue = append(p.queue, ch)
 	p.mu.Unlock()
 	select {
-	case m := <-ch:
-		if m == nil {
-			return nil, fault.New(fault.Unavailable, fault.NotRun, "the host is stopping")
+	case t := <-ch:
+		if t == nil {
+			return nil, fault.New(fault.Unavailable, fault.NotRun, "the entry host is stopping")
 		}
-		return m, nil
+		return t, nil
 	case <-ctx.Done():
-		p.leave(ch)
-		return nil, fault.New(fault.Overload, fault.NotRun, "no slot of service %q became free in time", p.cfg.Service).WithRetryAfter(1)
+		p.leaveQueue(ch)
+		return nil, fault.New(fault.Overload, fault.NotRun, "no slot of service %q became free before the deadline", p.cfg.Service).WithRetryAfter(1)
 	}
 }
 
-// leave takes a call out of the queue, or gives its slot back if it has just
-// got one.
-func (p *Pool) leave(ch chan *member) {
+// leaveQueue removes a call from the queue. If the call was assigned a slot in the
+// meantime, leaveQueue releases the slot.
+func (p *Pool) leaveQueue(ch chan *poolTarget) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for i, other := range p.waiting {
+	for i, other := range p.queue {
 		if other == ch {
-			p.waiting = append(p.waiting[:i], p.waiting[i+1:]...)
+			p.queue = append(p.queue[:i], p.queue[i+1:]...)
 			return
 		}
 	}
-	if m := <-ch; m != nil {
-		m.busy--
+	if t := <-ch; t != nil {
+		t.busy--
 		p.busy--
-		p.hand()
+		p.assignQueued()
 	}
 }
 
-// pick returns the open target with the most free slots, or nil. The caller
-// holds the lock.
-func (p *Pool) pick() *member {
-	var best *member
+// pick returns the available target with the most free slots, or nil if no slot is
+// free. The caller must hold p.mu.
+func (p *Pool) pick() *poolTarget {
+	var best *poolTarget
 	now := p.cfg.Clock.Now()
-	for _, m := range p.targets {
-		if !m.open(now) || m.busy >= m.host.Slots {
+	for _, t := range p.targets {
+		if !t.available(now) || t.busy >= t.info.Slots {
 			continue
 		}
-		if best == nil || m.before(best) {
-			best = m
+		if best == nil || t.preferredTo(best) {
+			best = t
 		}
 	}
 	return best
 }
 
-// before reports whether m is the better choice: more free slots, and among
-// equals the one that has been left alone the longest.
-func (m *member) before(o *member) bool {
-	if m.free() != o.free() {
-		return m.free() > o.free()
+// preferredTo reports whether t is preferred to o: the target with more free slots,
+// then the one that was used less recently, then the one with the lower id.
+func (t *poolTarget) preferredTo(o *poolTarget) bool {
+	if t.freeSlots() != o.freeSlots() {
+		return t.freeSlots() > o.freeSlots()
 	}
-	if m.lastTake != o.lastTake {
-		return m.lastTake < o.lastTake
+	if t.lastAcquired != o.lastAcquired {
+		return t.lastAcquired < o.lastAcquired
 	}
-	return m.host.ID < o.host.ID
+	return t.info.ID < o.info.ID
 }
 
-func (m *member) free() int { return m.host.Slots - m.busy }
+func (t *poolTarget) freeSlots() int { return t.info.Slots - t.busy }
 
-func (p *Pool) take(m *member) {
-	p.taken++
-	m.lastTake = p.taken
-	m.busy++
+// takeSlot acquires a slot of t. The caller must hold p.mu.
+func (p *Pool) takeSlot(t *poolTarget) {
+	p.acquired++
+	t.lastAcquired = p.acquired
+	t.busy++
 	p.busy++
 }
 
-// hand gives free slots to the calls that wait. The caller holds the lock.
-func (p *Pool) hand() {
-	for len(p.waiting) > 0 {
-		m := p.pick()
-		if m == nil {
+// assignQueued assigns free slots to the queued calls. The caller must hold p.mu.
+func (p *Pool) assignQueued() {
+	for len(p.queue) > 0 {
+		t := p.pick()
+		if t == nil {
 			return
 		}
-		p.take(m)
-		p.waiting[0] <- m
-		p.waiting = p.waiting[1:]
+		p.takeSlot(t)
+		p.queue[0] <- t
+		p.queue = p.queue[1:]
 	}
 }
 
-// release gives the slot back and notes how the call went. A target that fails
-// several calls in a row rests for a moment, unless it is the last one.
-func (p *Pool) release(m *member, err error) {
+// release releases the slot and records the result of the call. A target with
+// failuresToEject consecutive failures is ejected for ejectionTime if mayEject allows
+// it. An overload error does not count as a failure.
+func (p *Pool) release(t *poolTarget, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	m.busy--
+	t.busy--
 	p.busy--
 	switch {
 	case err == nil:
-		m.failures = 0
+		t.failures = 0
 	case !fault.Is(err, fault.Overload):
-		m.failures++
-		if m.failures >= failuresToRest && p.mayRest() {
-			m.failures = 0
-			m.restAt = p.cfg.Clock.Now().Add(restTime)
+		t.failures++
+		if t.failures >= failuresToEject && p.mayEject() {
+			t.failures = 0
+			t.ejectedUntil = p.cfg.Clock.Now().Add(ejectionTime)
 		}
 	}
-	p.hand()
+	p.assignQueued()
 }
 
-// mayRest reports whether at least half of the targets would still take calls
-// after one more rests, so that a service is never emptied by its own errors.
-func (p *Pool) mayRest() bool {
-	open := 0
+// mayEject reports whether at least half of the targets would remain available
+// after ejecting one more, so that errors of a service never eject all of its targets.
+// The caller must hold p.mu.
+func (p *Pool) mayEject() bool {
+	available := 0
 	now := p.cfg.Clock.Now()
-	for _, m := range p.targets {
-		if m.open(now) {
-			open++
+	for _, t := range p.targets {
+		if t.available(now) {
+			available++
 		}
 	}
-	return (open-1)*2 >= len(p.targets)
+	return (available-1)*2 >= len(p.targets)
 }
 
-// Close refuses the calls that wait and all later ones. Calls that have been
-// sent go on to their end.
+// Close rejects the queued calls. Later calls are rejected when no slot is free.
+// Calls in flight continue.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
-	for _, ch := range p.waiting {
+	for _, ch := range p.queue {
 		close(ch)
 	}
-	p.waiting = nil
+	p.queue = nil
 }
