--- a/internal/plat/ports/ports.go
+++ b/internal/plat/ports/ports.go
@@ -1,12 +1,13 @@
-// Package ports holds the types that pass between the scheduler and an adapter
-// of a platform: what a store, a worker and an advice service are asked, and
-// what they answer.
+// Package ports defines the interface between the scheduler and a platform
+// adapter: the requests to and answers from the store, the workers and the
+// advice service.
 //
-// The scheduler decides with these types only. An adapter translates names and
-// formats and decides nothing: it neither waits, nor retries, nor chooses.
-// Errors are *fault.Error. Outcome NotRun says that the other side refused or
-// that no connection came about; Unknown says that the request may have been
-// carried out, or may be carried out later.
+// The scheduler uses only these types. An adapter translates names and formats
+// and makes no decisions: it does not wait, retry or choose between servers.
+// Errors wrap a *RefusedError, *GoneError or *fault.Error. Outcome NotRun means
+// that the request had no effect, for example because no connection could be
+// made. Unknown means that the request may have been carried out, or may still
+// be.
 //
 // # Usage
 //
@@ -23,48 +24,48 @@
 	"lagooncourse/internal/cell/sched"
 )
 
-// Record is one record of a keyed topic. An empty value drops the key.
+// Record is one record of a keyed topic. An empty value deletes the key.
 type Record struct {
 	Offset int64
 	Key    string
 	Value  []byte
 }
 
-// AppendRequest adds records to partition 0 of a topic, all or none.
+// AppendRequest appends records to partition 0 of a topic atomically.
 type AppendRequest struct {
 	Topic   string
-	Writer  string // names the sequence of appends; empty for an append without a fence
-	Epoch   int64  // of the writer; a lower one than the topic has seen is refused
-	Seq     int64  // of the append within the epoch, from 0
+	Writer  string // producer id for fencing; empty for an unfenced append
+	Epoch   int64  // epoch of the writer; the store refuses an epoch below the highest it has seen
+	Seq     int64  // sequence number of the append within the epoch, from 0
 	Records []Record
 }
 
-// Refusal says why a store, worker or cloud refused, when it gave a reason.
+// Refusal is the reason for which a store or worker refused a request.
 type Refusal string
 
-// The reasons.
+// Refusal reasons.
 const (
-	RefusedFence    Refusal = "fence"    // a higher fencing token or epoch has been seen
-	RefusedSequence Refusal = "sequence" // the append does not follow the last one
-	RefusedOld      Refusal = "old"      // the run is not higher than one that ended there
-	RefusedLate     Refusal = "late"     // the lease had ended before the order came
-	RefusedRoom     Refusal = "room"     // the task does not fit
+	RefusedFence    Refusal = "fence"    // stale fencing token or epoch
+	RefusedSequence Refusal = "sequence" // gap in the sequence numbers of the writer
+	RefusedOld      Refusal = "old"      // a run with this number or a higher one has ended on the worker
+	RefusedLate     Refusal = "late"     // the lease ended before the order arrived
+	RefusedRoom     Refusal = "room"     // not enough free capacity for the task
 	RefusedTicket   Refusal = "ticket"   // the ticket is missing or has expired
-	RefusedReborn   Refusal = "reborn"   // another incarnation answers at the address
-	RefusedBusy     Refusal = "busy"     // overloaded or unhealthy; nothing was done
+	RefusedReborn   Refusal = "reborn"   // the worker has restarted: another incarnation has the address
+	RefusedBusy     Refusal = "busy"     // overloaded or unhealthy
 	RefusedOther    Refusal = "other"
 )
 
-// RefusedError is a refusal with its reason. Nothing was done.
+// RefusedError reports that the other side refused a request, which had no effect.
 type RefusedError struct {
 	Reason Refusal
-	Status int
+	Status int // HTTP status
 }
 
-// Error returns the reason and the status.
+// Error returns a message with the reason.
 func (e *RefusedError) Error() string { return "refused: " + string(e.Reason) }
 
-// ReasonOf returns why the other side refused, "" if err is no refusal.
+// ReasonOf returns the reason of the RefusedError in err, or "" if there is none.
 func ReasonOf(err error) Refusal {
 	var e *RefusedError
 	if errors.As(err, &e) {
@@ -73,43 +74,45 @@
 	return ""
 }
 
-// Page is a part of a topic.
+// Page is a range of consecutive records of a topic.
 type Page struct {
 	Records []Record
-	First   int64 // oldest offset that is retained
-	End     int64 // offset that the next append will get
+	First   int64 // oldest retained offset
+	End     int64 // offset of the next append
 }
 
-// ReadRequest asks for the records of partition 0 from an offset on.
+// ReadRequest reads records of partition 0, starting at an offset.
 type ReadRequest struct {
 	Topic  string
 	From   int64
-	Wait   time.Duration // how long the store may wait for a record
-	MaxKiB int           // 0 means the store's default
+	Wait   time.Duration // long poll: how long the store may wait for a record
+	MaxKiB int           // limit of the answer's size; 0 means the store's default
 }
 
-// Newest is the newest record of each key. After Page.End, Read continues.
+// Newest is a page of a listing that has the newest record of each key.
 type Newest struct {
 	Records []Record
-	End     int64  // offset at which this page was made
-	More    string // key to continue with; empty on the last page
+	End     int64  // end of the topic when the page was read; Read continues there
+	More    string // last key of the page, to pass to the next call; empty on the last page
 }
 
-// GoneError says that the records asked for are no longer retained.
+// GoneError reports that the requested records have expired. First is the
+// oldest retained offset.
 type GoneError struct{ First int64 }
 
-// Error describes the gap.
+// Error returns a fixed message.
 func (e *GoneError) Error() string { return "records have expired" }
 
-// Store is the platform's log.
+// Store is the platform's durable log.
 type Store interface {
 	Append(ctx context.Context, req AppendRequest) (offset int64, err error)
 	Read(ctx context.Context, req ReadRequest) (Page, error)
 	Newest(ctx context.Context, topic, after string) (Newest, error)
 }
 
-// ReadNewest returns the newest record of each key of a topic, and the offset
-// from which Read continues: pages are not a snapshot, so it is that of the first.
+// ReadNewest returns the newest record of each key of a topic and the offset
+// from which Read has to continue. That is the end offset of the first page,
+// because records may be appended while the later pages are read.
 func ReadNewest(ctx context.Context, s Store, topic string) (all []Record, end int64, err error) {
 	after := ""
 	for first := true; first || after != ""; first = false {
@@ -126,22 +129,22 @@
 	return all, end, nil
 }
 
-// Peer addresses one incarnation of a worker.
+// Peer identifies one incarnation of a worker and its address.
 type Peer struct {
 	ID   string
 	Addr string
 }
 
-// StartOrder tells a worker to run a task.
+// StartOrder orders a worker to run a task.
 type StartOrder struct {
 	Peer     Peer
-	Token    int64
+	Token    int64 // fencing token
 	Task     string
 	Run      int
 	Payload  string
-	LeaseEnd int64 // on the worker's clock, in milliseconds
-	Saved    string
-	Ticket   string
+	LeaseEnd int64  // on the worker's clock, in milliseconds
+	Saved    string // checkpoint to resume from
+	Ticket   string // of the advice service; empty if none is needed
 }
 
 // StopOrder ends a run of a task.
@@ -152,48 +155,50 @@
 	Run   int
 }
 
-// HoldRequest renews the lease of all that runs on a worker and asks for its lists.
+// HoldRequest renews the lease of a worker, which covers all its runs, and asks
+// for the lists of running and finished runs.
 type HoldRequest struct {
 	Peer     Peer
 	Token    int64
-	LeaseEnd int64 // 0 renews nothing
-	Seen     int64 // ends up to this number may be forgotten
-	Wait     time.Duration
+	LeaseEnd int64         // on the worker's clock, in milliseconds; 0 does not renew the lease
+	Seen     int64         // acknowledges finished runs up to this number; the worker may drop them
+	Wait     time.Duration // long poll: how long the worker may wait for a change
 }
 
-// HoldAnswer is what runs on a worker and what has ended there.
+// HoldAnswer lists the running and the unacknowledged finished runs of a worker.
 type HoldAnswer struct {
-	Clock    int64 // of the worker, in milliseconds
-	Born     int64 // start of the incarnation, in milliseconds since 1970
+	Clock    int64 // time of the worker's clock, in milliseconds
+	Born     int64 // start time of the incarnation, in milliseconds since 1970
 	Running  []sched.Running
 	Finished []sched.Finished
 }
 
 // Workers sends orders to workers.
 type Workers interface {
-	// Start returns the worker's clock.
+	// Start returns the time of the worker's clock, in milliseconds.
 	Start(ctx context.Context, o StartOrder) (clock int64, err error)
 	Stop(ctx context.Context, o StopOrder) error
 	Hold(ctx context.Context, r HoldRequest) (HoldAnswer, error)
 }
 
-// AdviceRequest asks which of the workers may run a step.
+// AdviceRequest asks the advice service which of the workers may run a step.
 type AdviceRequest struct {
 	Step    string
 	Workers []string
 }
 
-// Advice lists the workers that may run the step, with their tickets.
+// Advice lists the workers that may run the step.
 type Advice struct {
-	Tickets map[string]string
+	Tickets map[string]string // by worker; a start order carries the ticket of its worker
 }
 
-// Adviser is the service that knows which workers may run a step.
+// Adviser is the platform's advice service, which decides the workers that may
+// run a step.
 type Adviser interface {
 	Advise(ctx context.Context, r AdviceRequest) (Advice, error)
 }
 
-// Site is what one configuration of the operator holds.
+// Site is one version of the operators' configuration.
 type Site struct {
 	Version int64
 	Queues  []sched.Queue
@@ -201,11 +206,12 @@
 	Limits  Limits
 }
 
-// OperatorKey says what a key of the operators' topic speaks of.
+// OperatorKey is a parsed record key of the operators' topic. At most one field
+// is set; none for an unknown key.
 type OperatorKey struct {
-	Config bool   // the configuration
-	Az     string // an availability zone that is out of service
-	Wave   string // an upkeep of machines
+	Config bool   // the record is the configuration
+	Az     string // the record evacuates this availability zone
+	Wave   string // the record is this maintenance wave
 }
 
 // Team is a client account.
@@ -213,13 +219,13 @@
 	Name   string
 	Keys   []string
 	Weight int64
-	Max    jobs.Size // 0 in a dimension means no limit
+	Max    jobs.Size // quota; 0 in a dimension means no limit
 }
 
-// Limits bounds what callers may send.
+// Limits holds the limits of HTTP requests from callers.
 type Limits struct {
 	BodyBytes   int64
 	HeaderBytes int
-	HeaderMs    int64
-	IdleMs      int64
+	HeaderMs    int64 // timeout for reading the headers
+	IdleMs      int64 // timeout of idle connections
 }
