--- a/internal/plat/hosts/hosts.go
+++ b/internal/plat/hosts/hosts.go
@@ -1,6 +1,7 @@
 // Package hosts is the adapter to the platform's list of live and leaving
-// hosts. The list lags behind the truth by seconds, so it is used to find
-// hosts and to stop using them, never to conclude that one has ended its work.
+// hosts. The list is eventually consistent and lags by seconds. Use it to find
+// hosts and to stop using them, but not as evidence that a host has stopped
+// running its tasks.
 //
 // # Usage
 //
@@ -18,16 +19,17 @@
 	"lagooncourse/internal/base/httpd"
 )
 
-// State is what the platform says about a host.
+// State is the state of a host in the list.
 type State string
 
-// The states. A host that is absent from the list is gone.
+// Host states. A host that is not in the list is gone.
 const (
 	Live    State = "live"
 	Leaving State = "leaving"
 )
 
-// Worker describes a worker. CPU is in millicores and Mem in MiB.
+// Worker describes a worker. CPU is in millicores, Mem in MiB and Accel in
+// devices.
 type Worker struct {
 	ID    string `json:"id"`
 	Az    string `json:"az"`
@@ -51,7 +53,7 @@
 	State   State  `json:"state"`
 }
 
-// List is the content of the host list, sorted by id.
+// List is the content of the host list, sorted by ID.
 type List struct {
 	Workers []Worker `json:"workers"`
 	Targets []Target `json:"targets"`
@@ -62,16 +64,16 @@
 	List(ctx context.Context) (List, error)
 }
 
-// ClientConfig describes a Client.
+// ClientConfig is the configuration of a Client.
 type ClientConfig struct {
-	URLs    []string      // each serves a part of the list at /hosts
-	Timeout time.Duration // for one request; 0 means 1 s
+	URLs    []string      // base URLs; each serves a part of the list at /hosts
+	Timeout time.Duration // of one request; 0 means 1 s
 }
 
 const defaultTimeout = time.Second
 
-// Client is a Lister over HTTP. It remembers the last answer of each part, so
-// a part that does not answer keeps the hosts that it listed last.
+// Client is a Lister over HTTP. It caches the last answer of each part and uses
+// it while that part does not answer.
 type Client struct {
 	cfg  ClientConfig
 	last []List
@@ -87,7 +89,7 @@
 	return &Client{cfg: cfg, last: make([]List, len(cfg.URLs))}
 }
 
-// List returns the merged list. It fails only if no part answered.
+// List returns the merged list. It fails only if no part answers.
 func (c *Client) List(ctx context.Context) (l List, err error) {
 	defer fault.Note(&err, "read host list")
 	answered := 0
--- a/internal/plat/worker/worker.go
+++ b/internal/plat/worker/worker.go
@@ -1,19 +1,19 @@
 // Package worker is the adapter to the platform's workers, the machines that
 // run tasks.
 //
-// A worker runs a task as long as it holds a lease for it. It keeps the
-// highest fencing token that it has seen, an epoch and a sequence number, and
-// refuses every request with a lower one. The system's promise that no task
-// runs in two places leans on exactly four properties of a worker:
+// A worker runs a task only while its lease is valid. It stores the highest
+// fencing token that it has received, which is an epoch and a sequence number,
+// and refuses requests with an older epoch. The guarantee that no task runs in
+// two places depends on four properties of a worker:
 //
-//   - It refuses a start whose epoch is lower than the highest it has seen, or
-//     whose sequence number is below the floor of the last renewal.
-//   - It starts nothing without a lease, nothing that was meant for an earlier
-//     boot of it, and no attempt that it still reports
-//     as running or finished.
-//   - It stops every task when its lease runs out, by its own clock.
-//   - It reports every task that it runs, and every finished one until it is
-//     told that the result was recorded. When it forgets, by a restart, its
+//   - It refuses a start whose epoch is lower than the highest it has received,
+//     or whose sequence number is below that of the last renewal.
+//   - It starts no task without a lease, no task of a request for an earlier
+//     boot of the worker, and no attempt that it still reports as running or
+//     finished.
+//   - It stops every task when its lease expires, by its own clock.
+//   - It reports every running task, and every finished one until the owner
+//     confirms that the result is recorded. If a restart loses this state, its
 //     boot number changes.
 //
 // # Usage
@@ -31,23 +31,24 @@
 	"lagooncourse/internal/base/httpd"
 )
 
-// Token orders the requests of successive owners of a worker.
+// Token is the fencing token that orders the requests of successive owners of a
+// worker.
 type Token struct {
-	Epoch uint64 `json:"epoch"` // of the owner of the worker's group
-	Seq   uint64 `json:"seq"`   // of the request within the epoch
+	Epoch uint64 `json:"epoch"` // epoch of the owner of the worker's group
+	Seq   uint64 `json:"seq"`   // sequence number of the request within the epoch
 }
 
-// Attempt names one try to run one task.
+// Attempt identifies one attempt to run a task.
 type Attempt struct {
 	Task   string `json:"task"`
 	Number int    `json:"number"` // from 1
 }
 
 // StartRequest asks a worker to run a task. CPU is in millicores and Mem in
-// MiB; both are hard bounds for the worker's own accounting.
+// MiB; both are hard limits in the worker's resource accounting.
 type StartRequest struct {
 	Token      Token   `json:"token"`
-	Boot       int64   `json:"boot"` // of the worker that is meant
+	Boot       int64   `json:"boot"` // boot number of the intended worker
 	Attempt    Attempt `json:"attempt"`
 	Home       string  `json:"home"` // group that owns the job
 	Family     string  `json:"family"`
@@ -60,16 +61,16 @@
 	Payload    string  `json:"payload,omitempty"`
 }
 
-// RenewRequest extends the lease of a worker's tasks and asks what it runs.
+// RenewRequest renews the lease of a worker's tasks and asks for its inventory.
 type RenewRequest struct {
-	Token  Token     `json:"token"` // Seq is the floor: starts below it are refused from now on
-	TTLMs  int64     `json:"ttlMs"` // lease from now on, in milliseconds; 0 extends nothing
-	Since  uint64    `json:"since"` // version of the last answer; the worker waits for a newer one; 0 asks for all
+	Token  Token     `json:"token"` // the worker refuses later starts with a lower Seq
+	TTLMs  int64     `json:"ttlMs"` // lease duration from now, in milliseconds; 0 does not renew
+	Since  uint64    `json:"since"` // version of the last answer; the worker waits for a newer one; 0 asks for the full inventory
 	WaitMs int64     `json:"waitMs"`
-	Forget []Attempt `json:"forget,omitempty"` // finished attempts whose result is recorded
+	Forget []Attempt `json:"forget,omitempty"` // finished attempts whose result is recorded; the worker drops them
 }
 
-// Running is a task that the worker runs.
+// Running describes a running attempt.
 type Running struct {
 	Attempt Attempt `json:"attempt"`
 	Home    string  `json:"home"`
@@ -78,23 +79,23 @@
 	CPU     int64   `json:"cpu"`
 	Mem     int64   `json:"mem"`
 	Accel   int64   `json:"accel"`
-	UsedCPU int64   `json:"usedCpu"` // millicores, measured with a lag
-	UsedMem int64   `json:"usedMem"` // MiB, measured with a lag
+	UsedCPU int64   `json:"usedCpu"` // millicores; lags behind the actual usage
+	UsedMem int64   `json:"usedMem"` // MiB; lags behind the actual usage
 }
 
-// End says how an attempt ended on a worker.
+// End is the way an attempt ended on a worker.
 type End string
 
-// The ends that a worker reports.
+// Ends that a worker reports.
 const (
 	EndOK           End = "ok"
 	EndFailed       End = "failed"       // the task itself failed
 	EndStopped      End = "stopped"      // on request, without a checkpoint
-	EndCheckpointed End = "checkpointed" // on request, state kept
-	EndLapsed       End = "lapsed"       // the worker's lease ran out
+	EndCheckpointed End = "checkpointed" // on request, with a checkpoint
+	EndLapsed       End = "lapsed"       // the worker's lease expired
 )
 
-// Finished is an attempt that has ended and is not forgotten yet.
+// Finished is an ended attempt whose result is not yet confirmed as recorded.
 type Finished struct {
 	Attempt    Attempt `json:"attempt"`
 	Home       string  `json:"home"`
@@ -103,24 +104,24 @@
 	Checkpoint string  `json:"checkpoint,omitempty"`
 }
 
-// Inventory is all that a worker knows about its tasks. A worker that has
-// nothing new since the version that the renewal named may say just that.
+// Inventory is the complete state of a worker's tasks. If nothing has changed
+// since RenewRequest.Since, the worker may set Same and omit the lists.
 type Inventory struct {
-	Same     bool       `json:"same,omitempty"` // as at the version that the renewal named, less what it forgets
-	Boot     int64      `json:"boot"`           // changes whenever the worker has forgotten its past
+	Same     bool       `json:"same,omitempty"` // unchanged since RenewRequest.Since, except for RenewRequest.Forget
+	Boot     int64      `json:"boot"`           // changes whenever the worker loses its state
 	Version  uint64     `json:"version"`
 	Running  []Running  `json:"running,omitempty"`
 	Finished []Finished `json:"finished,omitempty"`
 }
 
-// StopRequest ends an attempt. With Checkpoint the worker keeps its state.
+// StopRequest stops an attempt. With Checkpoint, the worker saves a checkpoint.
 type StopRequest struct {
 	Token      Token   `json:"token"`
 	Attempt    Attempt `json:"attempt"`
 	Checkpoint bool    `json:"checkpoint"`
 }
 
-// ThrottleRequest bounds the processor time of an attempt.
+// ThrottleRequest limits the CPU usage of an attempt.
 type ThrottleRequest struct {
 	Token   Token   `json:"token"`
 	Attempt Attempt `json:"attempt"`
@@ -135,15 +136,15 @@
 	Stop(ctx context.Context, req StopRequest) error
 }
 
-// Throttler is implemented by workers that can bound a running task.
+// Throttler is implemented by workers that can limit the CPU of a running task.
 type Throttler interface {
 	Throttle(ctx context.Context, req ThrottleRequest) error
 }
 
-// ClientConfig describes a Client.
+// ClientConfig is the configuration of a Client.
 type ClientConfig struct {
 	URL     string        // base URL of the worker
-	Timeout time.Duration // for one request, in addition to its wait; 0 means 1 s
+	Timeout time.Duration // of one request, excluding its wait time; 0 means 1 s
 }
 
 const defaultTimeout = time.Second
@@ -164,7 +165,7 @@
 	return &Client{cfg: cfg}
 }
 
-// Timeout returns how long a request may take in addition to its wait.
+// Timeout returns the timeout of one request, excluding its wait time.
 func (c *Client) Timeout() time.Duration { return c.cfg.Timeout }
 
 // Start asks the worker to run a task.
@@ -174,21 +175,21 @@
 	return err
 }
 
-// Renew extends the lease and returns the inventory.
+// Renew renews the lease and returns the inventory.
 func (c *Client) Renew(ctx context.Context, req RenewRequest) (inv Inventory, err error) {
 	defer fault.Note(&err, "renew worker %s", c.cfg.URL)
 	wait := time.Duration(req.WaitMs) * time.Millisecond
 	return post[Inventory](ctx, c, "/renew", c.cfg.Timeout+wait, req)
 }
 
-// Stop ends an attempt.
+// Stop stops an attempt.
 func (c *Client) Stop(ctx context.Context, req StopRequest) (err error) {
 	defer fault.Note(&err, "stop task %q", req.Attempt.Task)
 	_, err = post[struct{}](ctx, c, "/stop", c.cfg.Timeout, req)
 	return err
 }
 
-// Throttle bounds an attempt.
+// Throttle limits the CPU usage of an attempt.
 func (c *Client) Throttle(ctx context.Context, req ThrottleRequest) (err error) {
 	defer fault.Note(&err, "throttle task %q", req.Attempt.Task)
 	_, err = post[struct{}](ctx, c, "/throttle", c.cfg.Timeout, req)
