--- a/internal/plat/target/target.go
+++ b/internal/plat/target/target.go
@@ -1,12 +1,11 @@
 // Package target is the adapter to a service's targets, the executors that
-// answer short calls.
+// serve short calls.
 //
-// An executor may answer late, answer another request than the one that was
-// sent, or cut an answer off. The client accepts an answer only if it repeats
-// the request's id and carries the length and checksum of its whole body.
-// Everything else closes the connection and is an error. Once a request has
-// been handed to a connection its outcome is Unknown, unless the executor
-// itself says that it did not run.
+// A faulty executor may answer late, send the answer to another request, or
+// truncate an answer. The client accepts an answer only if it has the ID of the
+// request and its body matches the length and checksum headers. It rejects any
+// other answer with an error. Once a request has obtained a connection, its
+// outcome is Unknown unless the executor states that it did not run.
 //
 // # Usage
 //
@@ -32,38 +31,38 @@
 	"lagooncourse/internal/base/httpd"
 )
 
-// Header names of the executors' protocol.
+// Headers of the executor protocol.
 const (
 	HeaderID       = "X-Request-Id"
 	HeaderChecksum = "X-Body-Checksum" // xxhash64 of the body, in hexadecimal
 )
 
-// MaxBodyBytes bounds the body of a request and of an answer.
+// MaxBodyBytes is the size limit of request and answer bodies.
 const MaxBodyBytes = 4 << 20
 
 // Request is one call.
 type Request struct {
-	ID      string // unique in the fleet; the answer repeats it
+	ID      string // unique in the fleet; the answer has the same ID
 	Service string
 	Body    []byte
 }
 
-// Answer is the whole answer to one call.
+// Answer is the answer to one call.
 type Answer struct {
 	Body   []byte
-	Status int // HTTP status that the service chose, below 500
+	Status int // HTTP status set by the service, below 500
 }
 
-// Target is one executor. Errors are *fault.Error.
+// Target calls one executor. Errors are *fault.Error.
 type Target interface {
 	Call(ctx context.Context, req Request) (Answer, error)
 }
 
-// ClientConfig describes a Client.
+// ClientConfig is the configuration of a Client.
 type ClientConfig struct {
-	ID    string // names the circuit breaker
+	ID    string // name of the circuit breaker
 	URL   string
-	Conns int // connections that this client may hold open; 0 means 8
+	Conns int // maximum number of open connections; 0 means 8
 }
 
 const (
@@ -71,7 +70,7 @@
 	idleTimeout  = 30 * time.Second
 )
 
-// Client is a Target over HTTP with a circuit breaker of its own.
+// Client is a Target over HTTP with its own circuit breaker.
 type Client struct {
 	cfg       ClientConfig
 	transport *http.Transport
@@ -80,7 +79,7 @@
 
 var _ Target = (*Client)(nil)
 
-// NewClient returns a client of the executor at cfg.URL.
+// NewClient returns a client for the executor at cfg.URL.
 func NewClient(cfg ClientConfig) *Client {
 	if cfg.Conns == 0 {
 		cfg.Conns = defaultConns
@@ -96,21 +95,21 @@
 	}
 }
 
-// Close drops the idle connections.
+// Close closes the idle connections.
 func (c *Client) Close() { c.transport.CloseIdleConnections() }
 
 // Checksum returns the value of HeaderChecksum for a body.
 func Checksum(body []byte) string { return strconv.FormatUint(xxhash.Sum64(body), 16) }
 
-// Call sends one request and returns its whole answer.
+// Call sends one request and returns its answer.
 func (c *Client) Call(ctx context.Context, req Request) (a Answer, err error) {
 	defer fault.Note(&err, "call target %q", c.cfg.ID)
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, c.cfg.URL+"/call/"+req.Service, bytes.NewReader(req.Body))
 	if err != nil {
 		return a, fault.New(fault.Internal, fault.NotRun, "%v", err)
 	}
-	// Without GetBody the transport cannot send the request a second time on
-	// its own when a reused connection breaks.
+	// Without GetBody the transport cannot resend the request by itself when a
+	// reused connection breaks.
 	r.GetBody = nil
 	r.Header.Set(HeaderID, req.ID)
 	r.Header.Set(HeaderChecksum, Checksum(req.Body))
@@ -126,9 +125,9 @@
 	return c.read(resp, req.ID)
 }
 
-// read checks that resp is the whole answer to the request id. An answer to
-// another request is left unread, which makes the transport close its
-// connection.
+// read checks that resp is the complete answer to the request id and returns
+// it. It does not read an answer to another request, so that the transport
+// closes the connection.
 func (c *Client) read(resp *http.Response, id string) (a Answer, err error) {
 	if got := resp.Header.Get(HeaderID); got != id {
 		c.transport.CloseIdleConnections()
@@ -142,7 +141,7 @@
 		return a, fault.New(fault.BadAnswer, fault.Unknown, "answer is longer than %d bytes", MaxBodyBytes)
 	}
 	if got, want := resp.Header.Get(HeaderChecksum), Checksum(body); got != want {
-		return a, fault.New(fault.BadAnswer, fault.Unknown, "answer has checksum %q instead of %q", want, got)
+		return a, fault.New(fault.BadAnswer, fault.Unknown, "answer body has checksum %q, header says %q", want, got)
 	}
 	if resp.StatusCode >= http.StatusInternalServerError {
 		return a, refusal(resp.StatusCode, body)
@@ -150,8 +149,8 @@
 	return Answer{Body: body, Status: resp.StatusCode}, nil
 }
 
-// refusal turns an executor's error answer into an error with the outcome that
-// the executor states.
+// refusal converts an executor's error answer into an error with the outcome
+// that the executor states.
 func refusal(status int, body []byte) error {
 	var e fault.Error
 	if err := json.Unmarshal(body, &e); err == nil && e.Ran == fault.NotRun {
--- a/internal/plat/target/target_test.go
+++ b/internal/plat/target/target_test.go
@@ -23,9 +23,8 @@
 	return e, target.NewClient(target.ClientConfig{ID: t.Name(), URL: e.List()[0].URL})
 }
 
-// TestAnswers goes through everything that an executor may do to an answer. No
-// answer that is not whole and the call's own is delivered, and the call after
-// it is answered as if nothing had happened.
+// TestAnswers injects each fault of an executor's answer. The client must reject
+// the faulty answer with outcome Unknown, and the next call must succeed.
 func TestAnswers(t *testing.T) {
 	for _, tc := range []struct {
 		name string
@@ -61,8 +60,8 @@
 	}
 }
 
-// TestRefusals checks that a call that finds no slot or no executor says
-// truthfully that it did not run.
+// TestRefusals checks that a call has outcome NotRun if the executor has no free
+// slot or does not listen.
 func TestRefusals(t *testing.T) {
 	e, c := start(t, 0)
 	_, err := c.Call(context.Background(), target.Request{ID: "x", Service: "s"})
@@ -70,8 +69,9 @@
 	assert.Equal(t, len(e.Executions()), 0)
 	url := e.List()[0].URL
 	e.Close()
-	// A client of its own: one that still holds a connection may write to it
-	// before it learns of the end, and then says unknown, which is true.
+	// Use a new client: the first one may write to its open connection before
+	// it detects that the executor has closed it, and then correctly returns
+	// Unknown.
 	c = target.NewClient(target.ClientConfig{ID: t.Name(), URL: url})
 	_, err = c.Call(context.Background(), target.Request{ID: "y", Service: "s"})
 	assert.Equal(t, fault.RanOf(err), fault.NotRun)
