--- a/internal/plat/stream/replay.go
+++ b/internal/plat/stream/replay.go
@@ -5,68 +5,68 @@
 	"lagooncourse/internal/base/frame"
 )
 
-// A Machine is a state that is a pure function of a stream's records. The same
-// records in the same order give the same state in every process.
+// Machine is a deterministic state machine: the same records in the same order
+// give the same state in every process.
 type Machine interface {
-	// Apply takes the next record. A record that the machine's own rules
-	// reject leaves the state as it was; that is not an error.
+	// Apply applies the next record. A record that the machine rejects leaves
+	// the state unchanged; that is not an error.
 	Apply(offset int64, data []byte)
-	// Snapshot returns the encoded state after all applied records.
+	// Snapshot returns the encoded current state.
 	Snapshot() ([]byte, error)
 	// Restore replaces the state with an encoded one.
 	Restore(data []byte) error
 }
 
-// entry is what the streams of the system hold: a record of the machine, or a
-// snapshot of the state after the records up to an offset.
+// entry is one record of a stream: either a record of the machine, or a snapshot
+// of its state after the records up to offset UpTo.
 //
-// A snapshot never changes a state that is already being followed, and so
-// needs no fencing: whoever wrote it, and however late, it is a function of
-// the records up to UpTo. A reader that starts in the middle of a stream uses
-// one only together with every record after UpTo.
+// A snapshot needs no fencing: it is a function of the records up to UpTo, no
+// matter which process wrote it and when, and a reader that already has the
+// state ignores it. A reader that starts in the middle of a stream restores a
+// snapshot only if it also has every record after UpTo.
 type entry struct {
 	Record   []byte
 	Snapshot []byte
 	UpTo     int64
 }
 
-// EncodeRecord returns the stream form of a machine's record.
+// EncodeRecord encodes a machine's record for the stream.
 func EncodeRecord(data []byte) ([]byte, error) { return frame.Encode(entry{Record: data}) }
 
-// Replay follows one stream and keeps a machine up to date. It is not safe for
-// concurrent use; the machine's owner guards both with one lock.
+// Replay applies the records of one stream to a machine. It is not safe for
+// concurrent use; guard it and the machine with the same lock.
 type Replay struct {
 	Stream  string
 	Machine Machine
 
-	next      int64 // offset of the next record to take
-	started   bool  // the machine holds the state before next
-	buffered  []Record
-	bytes     int64 // since the last snapshot seen
-	records   int64 // since the last snapshot seen
-	corrupted int64 // records that could not be decoded
+	next      int64    // offset of the next record
+	started   bool     // the machine has the state before next
+	buffered  []Record // machine records read while not started
+	bytes     int64    // size of the records since the last snapshot
+	records   int64    // number of records since the last snapshot
+	corrupted int64    // number of records that could not be decoded
 }
 
 // Next returns the offset of the next record to read.
 func (r *Replay) Next() int64 { return r.next }
 
-// Ready reports whether the machine holds the state of the stream. It does not
-// as long as a stream whose beginning has been dropped has shown no usable
-// snapshot.
+// Ready reports whether the machine has the state of the stream. If the start of
+// the stream has expired, this is false until a usable snapshot has been read.
 func (r *Replay) Ready() bool { return r.started }
 
-// SinceSnapshot returns the records and their bytes since the newest snapshot.
+// SinceSnapshot returns the number and the total size of the records since the
+// newest snapshot.
 func (r *Replay) SinceSnapshot() (records, bytes int64) { return r.records, r.bytes }
 
-// Corrupted returns how many records could not be decoded and were passed over.
+// Corrupted returns how many records were skipped because they could not be
+// decoded.
 func (r *Replay) Corrupted() int64 { return r.corrupted }
 
 // Take applies one page. It reports whether the page reached the end of the
 // stream.
 //
-// A gap between the last applied record and the page means that retention has
-// overtaken a reader that was away too long. The state is then worthless and
-// the reader starts again from the next snapshot.
+// If records between the last applied one and the page have expired, the reader
+// was too slow: the state is discarded and rebuilt from the next snapshot.
 func (r *Replay) Take(p Page) (atHead bool) {
 	if p.First > r.next {
 		r.next = p.First
@@ -105,8 +105,8 @@
 	r.Machine.Apply(rec.Offset, e.Record)
 }
 
-// takeSnapshot starts the machine from the snapshot, if it has not started and
-// all records after the snapshot's offset are at hand.
+// takeSnapshot restores the machine from the snapshot if the machine has no
+// state yet and all records after the snapshot are buffered.
 func (r *Replay) takeSnapshot(e entry) {
 	if r.started {
 		r.records, r.bytes = 0, 0
@@ -132,7 +132,8 @@
 	r.records, r.bytes = 0, 0
 }
 
-// EncodeSnapshot returns the stream form of the machine's present state.
+// EncodeSnapshot encodes a snapshot of the machine's current state for the
+// stream.
 func (r *Replay) EncodeSnapshot() (data []byte, err error) {
 	defer fault.Note(&err, "snapshot of stream %q", r.Stream)
 	snap, err := r.Machine.Snapshot()
--- a/internal/plat/stream/replay_test.go
+++ b/internal/plat/stream/replay_test.go
@@ -14,7 +14,7 @@
 
 func TestMain(m *testing.M) { os.Exit(seeds.Run(m)) }
 
-// history is a machine that remembers every record.
+// history is a machine whose state is the list of all applied records.
 type history struct{ Records []string }
 
 func (h *history) Apply(_ int64, data []byte) { h.Records = append(h.Records, string(data)) }
@@ -25,10 +25,10 @@
 	return err
 }
 
-// tape is a stream with writers that may append late snapshots.
+// tape is an in-memory stream.
 type tape struct {
 	data    [][]byte
-	records []string // what a reader of everything has applied
+	records []string // records that a reader of the whole stream has applied
 }
 
 func (tp *tape) page(from, first int64, most int) Page {
@@ -39,9 +39,10 @@
 	return p
 }
 
-// TestAgainstNaive writes records and snapshots, some of them composed long
-// before they land, and drops the beginning. A fresh reader that calls itself
-// ready holds what a reader of everything holds.
+// TestAgainstNaive writes records, corrupt records and snapshots, some of them
+// appended long after they were encoded, and truncates the start of the stream.
+// A new reader that reports Ready must have the state of a reader of the whole
+// stream.
 func TestAgainstNaive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var tp tape
@@ -74,7 +75,7 @@
 	})
 }
 
-// readFresh reads the rest of a truncated stream in small pages.
+// readFresh reads a truncated stream in small pages with a new reader.
 func readFresh(t *rapid.T, tp *tape) {
 	first := rapid.Int64Range(0, int64(len(tp.data))).Draw(t, "first")
 	m := &history{}
@@ -92,8 +93,8 @@
 	}
 }
 
-// TestOvertaken checks that a reader that retention has overtaken drops its
-// state and starts again from the next snapshot.
+// TestOvertaken checks that a reader whose next records have expired discards
+// its state and rebuilds it from the next snapshot.
 func TestOvertaken(t *testing.T) {
 	m := &history{}
 	r := &Replay{Machine: m}
--- a/internal/plat/stream/stream.go
+++ b/internal/plat/stream/stream.go
@@ -1,14 +1,13 @@
-// Package stream is the adapter to the platform's log service, the only place
-// where anything of ours outlives a process.
+// Package stream is the adapter to the platform's log service, which is the
+// only durable storage of the system.
 //
 // The log holds named streams of records. A record's offset is its position in
-// its stream, counted from 0. The service promises an order and nothing more:
-// an append whose answer is lost may have taken effect, old records disappear
-// after the retention time, and the whole service is away for hours at a time.
+// the stream, counted from 0. The service guarantees only the order of the
+// records: an append whose answer is lost may have taken effect, records expire
+// after the retention time, and the service can be unavailable for hours.
 //
-// Two things are built on it here. Client speaks the service's HTTP protocol.
-// Replay rebuilds a state machine from a stream, with the help of snapshots
-// that the system appends to the same stream.
+// Client is an HTTP client of the service. Replay rebuilds a state machine from
+// a stream, using snapshots that are records of the same stream.
 //
 // # Usage
 //
@@ -34,35 +33,35 @@
 	Data   []byte `json:"data"`
 }
 
-// ReadRequest asks for records from an offset on.
+// ReadRequest reads records of a stream, starting at an offset.
 type ReadRequest struct {
 	Stream string
 	From   int64         // first offset wanted
-	Max    int           // most records in the answer; 0 means 1000
-	Wait   time.Duration // how long the service may hold the request open when there is nothing to return
+	Max    int           // maximum number of records in the answer; 0 means 1000
+	Wait   time.Duration // long poll: how long the service may wait for a record
 }
 
-// Page answers a ReadRequest.
+// Page is the answer to a ReadRequest.
 type Page struct {
 	Records []Record `json:"records"`
-	First   int64    `json:"first"` // oldest offset that retention has kept
-	Next    int64    `json:"next"`  // offset that the next append will get
+	First   int64    `json:"first"` // oldest retained offset
+	Next    int64    `json:"next"`  // offset of the next append
 }
 
 // Log is the platform's log service.
 type Log interface {
-	// Append adds a record and returns its offset. A *fault.Error with an
-	// outcome other than NotRun leaves open whether the record was added.
+	// Append appends a record and returns its offset. After a *fault.Error
+	// with an outcome other than NotRun, the record may have been appended.
 	Append(ctx context.Context, stream string, data []byte) (offset int64, err error)
-	// Read returns the records from an offset on. When From lies before
-	// Page.First, the records start at First.
+	// Read returns records starting at req.From, or at Page.First if that is
+	// higher.
 	Read(ctx context.Context, req ReadRequest) (Page, error)
 }
 
-// ClientConfig describes a Client.
+// ClientConfig is the configuration of a Client.
 type ClientConfig struct {
 	URL     string        // base URL of the service
-	Timeout time.Duration // for one request, in addition to its Wait; 0 means 2 s
+	Timeout time.Duration // of one request, excluding its Wait; 0 means 2 s
 }
 
 const (
@@ -75,7 +74,7 @@
 
 var _ Log = (*Client)(nil)
 
-// NewClient returns a client of the service at cfg.URL.
+// NewClient returns a client for the service at cfg.URL.
 func NewClient(cfg ClientConfig) *Client {
 	if cfg.Timeout == 0 {
 		cfg.Timeout = defaultTimeout
@@ -83,17 +82,17 @@
 	return &Client{cfg: cfg}
 }
 
-// AppendRequest is the body of an append.
+// AppendRequest is the HTTP body of an append.
 type AppendRequest struct {
 	Data []byte `json:"data"`
 }
 
-// AppendAnswer is the answer to an append.
+// AppendAnswer is the HTTP body of the answer to an append.
 type AppendAnswer struct {
 	Offset int64 `json:"offset"`
 }
 
-// Append adds a record to the stream.
+// Append appends a record to the stream; see Log.
 func (c *Client) Append(ctx context.Context, stream string, data []byte) (offset int64, err error) {
 	defer fault.Note(&err, "append to stream %q", stream)
 	ctx, cancel := context.WithTimeout(ctx, c.cfg.Timeout)
@@ -102,7 +101,7 @@
 	return a.Offset, err
 }
 
-// Read returns records of the stream.
+// Read returns records of the stream; see Log.
 func (c *Client) Read(ctx context.Context, req ReadRequest) (p Page, err error) {
 	defer fault.Note(&err, "read stream %q from offset %d", req.Stream, req.From)
 	if req.Max == 0 {
