--- a/internal/plat/stream/replay_test.go
+++ b/internal/plat/stream/replay_test.go
@@ -25,13 +25,13 @@
 	return err
 }
 
-// tape is an in-memory stream.
-type tape struct {
+// memStream is an in-memory stream.
+type memStream struct {
 	data    [][]byte
 	records []string // records that a reader of the whole stream has applied
 }
 
-func (tp *tape) page(from, first int64, most int) Page {
+func (tp *memStream) page(from, first int64, most int) Page {
 	p := Page{First: first, Next: int64(len(tp.data))}
 	for off := max(from, first); off < p.Next && len(p.Records) < most; off++ {
 		p.Records = append(p.Records, Record{Offset: off, Data: tp.data[off]})
@@ -45,7 +45,7 @@
 // stream.
 func TestAgainstNaive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var tp tape
+		var tp memStream
 		writer := &Replay{Machine: &history{}}
 		var late [][]byte
 		for i := range rapid.IntRange(1, 60).Draw(t, "n") {
@@ -76,7 +76,7 @@
 }
 
 // readFresh reads a truncated stream in small pages with a new reader.
-func readFresh(t *rapid.T, tp *tape) {
+func readFresh(t *rapid.T, tp *memStream) {
 	first := rapid.Int64Range(0, int64(len(tp.data))).Draw(t, "first")
 	m := &history{}
 	r := &Replay{Machine: m}
@@ -93,9 +93,9 @@
 	}
 }
 
-// TestOvertaken checks that a reader whose next records have expired discards
+// TestExpiredRecords checks that a reader whose next records have expired discards
 // its state and rebuilds it from the next snapshot.
-func TestOvertaken(t *testing.T) {
+func TestExpiredRecords(t *testing.T) {
 	m := &history{}
 	r := &Replay{Machine: m}
 	rec := func(s string) []byte {
