--- a/internal/plat/fakes/doc.go
+++ b/internal/plat/fakes/doc.go
@@ -1,12 +1,14 @@
-// Package fakes holds small stand-ins for the platform: its log service, its
-// workers and its executors. They speak the same HTTP as the real ones are met
-// with, so that the adapters are exercised too.
+// Package fakes has in-process fakes of the platform's services.
 //
-// They are no simulator. Each keeps just enough state to answer truthfully,
-// records what really happened for the judge, and has a few switches by which
-// a test brings about a failure: an outage, a lost answer, a worker that fails
-// all it starts, an executor that mixes up its answers. The switches can be
-// thrown from Go with Set and over HTTP with POST /switch.
+// Log, Fleet and Execs are HTTP servers that implement the protocols of the log
+// service, the workers and the executors, so that tests cover the adapters too.
+// Store and Farm are called directly, without HTTP.
+//
+// The fakes keep only the state that they need to answer correctly. They record
+// what was run, for the checks of tests and of package judge, and can inject
+// faults: an outage, a lost answer, a worker that fails all its tasks, or an
+// executor that sends the answer to another request. For the HTTP servers,
+// faults are set from Go with Set or over HTTP with POST /switch.
 //
 // # Usage
 //
@@ -26,7 +28,7 @@
 
 const maxSwitchBytes = 64 << 10
 
-// hangUp closes the connection without an answer, as a process that dies does.
+// hangUp closes the connection without an answer, as a crash of the process would.
 func hangUp(w http.ResponseWriter) {
 	hj, ok := w.(http.Hijacker)
 	if !ok {
@@ -37,7 +39,7 @@
 	}
 }
 
-// nowMs returns the wall clock in milliseconds since 1970.
+// nowMs returns the wall clock time in milliseconds since 1970.
 func nowMs() int64 { return time.Now().UnixMilli() }
 
 func post(path string, h http.HandlerFunc) rest.Route {
@@ -48,7 +50,7 @@
 	return rest.Route{Method: http.MethodGet, Path: path, Handler: h}
 }
 
-// switchRoute serves POST /switch for a stand-in whose switches are a T.
+// switchRoute returns the route POST /switch, which sets the faults T of a fake.
 func switchRoute[T any](set func(T)) rest.Route {
 	return post("/switch", func(w http.ResponseWriter, r *http.Request) {
 		s, err := httpd.ReadJSON[T](r, maxSwitchBytes)
--- a/internal/plat/fakes/exec.go
+++ b/internal/plat/fakes/exec.go
@@ -17,25 +17,26 @@
 	"lagooncourse/internal/plat/target"
 )
 
-// ExecConfig describes a number of executors, each with an address of its own.
+// ExecConfig is the configuration of Execs.
 type ExecConfig struct {
-	Addr    string         // of the switches and the host list
-	Targets []hosts.Target // URL may name host and port; otherwise one is picked
-	WorkMs  int64          // time that a call takes
+	Addr    string         // address of the admin server: host list, executions and fault injection
+	Targets []hosts.Target // URL is the host:port to listen on; if empty, a free port is used
+	WorkMs  int64          // duration of a call in milliseconds
 }
 
-// ExecSwitch brings about failures of one executor, or of all if Target is empty.
+// ExecSwitch sets the injected faults of one executor, or of all if Target is
+// empty.
 type ExecSwitch struct {
 	Target  string      `json:"target"`
-	LateMs  int64       `json:"lateMs"`  // added to every answer
-	Cross   bool        `json:"cross"`   // answers carry the id of another request
-	Cut     bool        `json:"cut"`     // answers end in the middle
-	HangUp  bool        `json:"hangUp"`  // the call runs and its connection is closed
-	Corrupt bool        `json:"corrupt"` // a byte of the answer is changed
-	State   hosts.State `json:"state"`   // in the host list; empty leaves it
+	LateMs  int64       `json:"lateMs"`  // delay of every answer in milliseconds
+	Cross   bool        `json:"cross"`   // answers have the ID of the previous request
+	Cut     bool        `json:"cut"`     // answers are truncated
+	HangUp  bool        `json:"hangUp"`  // calls run, then their connections are closed without an answer
+	Corrupt bool        `json:"corrupt"` // one byte of each answer is changed
+	State   hosts.State `json:"state"`   // state in the host list; empty does not change it
 }
 
-// Execution is what an executor recorded about one call.
+// Execution records one call that ran on an executor.
 type Execution struct {
 	Target  string `json:"target"`
 	ID      string `json:"id"`
@@ -44,13 +45,14 @@
 	EndMs   int64  `json:"endMs"`
 }
 
-// Execs is a stand-in for the executors of a service.
+// Execs fakes the executors of a service. Each executor listens on its own
+// address.
 type Execs struct {
 	admin *httpd.Server
 	execs []*fakeExec
 
 	mu     sync.Mutex
-	number int64 // next invoice number, shared by all executors
+	number int64 // last number sent in an answer; counts the calls of all executors
 	done   []Execution
 }
 
@@ -63,16 +65,16 @@
 
 	mu      sync.Mutex
 	sw      ExecSwitch
-	busiest int // most calls at once
-	refused int
-	conns   int
-	most    int // most connections at once
-	lastID  string
+	busiest int    // maximum of concurrent calls
+	refused int    // calls refused because no slot was free
+	conns   int    // open connections
+	most    int    // maximum of open connections
+	lastID  string // request ID of the last call
 }
 
-// StartExecs starts the executors.
+// StartExecs starts the executors and their admin server.
 func StartExecs(cfg ExecConfig) (e *Execs, err error) {
-	defer fault.Note(&err, "start executor stand-in")
+	defer fault.Note(&err, "start fake executors")
 	e = &Execs{}
 	for _, h := range cfg.Targets {
 		if err := e.add(h, cfg.WorkMs); err != nil {
@@ -117,10 +119,10 @@
 	return nil
 }
 
-// URL returns the base URL under which the host list is served.
+// URL returns the base URL of the admin server, which serves the host list.
 func (e *Execs) URL() string { return e.admin.URL() }
 
-// Close stops all executors at once.
+// Close stops all executors immediately.
 func (e *Execs) Close() {
 	if e.admin != nil {
 		e.admin.Close()
@@ -141,21 +143,21 @@
 	return l
 }
 
-// Executions returns every call that ran.
+// Executions returns all calls that ran.
 func (e *Execs) Executions() []Execution {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]Execution{}, e.done...)
 }
 
-// ExecPeaks is the most that was ever asked of one executor at once.
+// ExecPeaks holds the peak load of single executors.
 type ExecPeaks struct {
-	Slots   int // calls running at once
-	Conns   int // open connections
-	Refused int // calls refused for want of a slot, all executors
+	Slots   int // maximum of concurrent calls of one executor
+	Conns   int // maximum of open connections of one executor
+	Refused int // calls of all executors refused because no slot was free
 }
 
-// Peaks returns the highest values over all executors.
+// Peaks returns the peak load over all executors.
 func (e *Execs) Peaks() (p ExecPeaks) {
 	for _, x := range e.execs {
 		x.mu.Lock()
@@ -165,7 +167,7 @@
 	return p
 }
 
-// Set throws the switches.
+// Set replaces the injected faults.
 func (e *Execs) Set(s ExecSwitch) {
 	for _, x := range e.execs {
 		if s.Target != "" && s.Target != x.host.ID {
@@ -195,7 +197,7 @@
 func (x *fakeExec) call(w http.ResponseWriter, r *http.Request) {
 	body, err := httpd.ReadBody(r, target.MaxBodyBytes)
 	if err != nil || r.Header.Get(target.HeaderChecksum) != target.Checksum(body) {
-		x.refuse(w, r, "the request is damaged")
+		x.refuse(w, r, "request body does not match its checksum")
 		return
 	}
 	select {
@@ -204,7 +206,7 @@
 		x.mu.Lock()
 		x.refused++
 		x.mu.Unlock()
-		x.refuse(w, r, "all slots are taken")
+		x.refuse(w, r, "no free slot")
 		return
 	}
 	sw, previous := x.begin(r.Header.Get(target.HeaderID))
@@ -213,7 +215,8 @@
 	x.reply(w, r, sw, previous, answer)
 }
 
-// begin notes the request and returns the switches and the id before it.
+// begin records the request ID and returns the injected faults and the previous
+// request ID.
 func (x *fakeExec) begin(id string) (ExecSwitch, string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -223,7 +226,8 @@
 	return x.sw, previous
 }
 
-// work runs the call to its end, whether or not the caller is still there.
+// work runs the call and records it, even if the caller disconnects, and returns
+// the answer.
 func (x *fakeExec) work(r *http.Request, body []byte) []byte {
 	start := nowMs()
 	time.Sleep(time.Duration(x.workMs) * time.Millisecond)
--- a/internal/plat/fakes/farm.go
+++ b/internal/plat/fakes/farm.go
@@ -14,54 +14,55 @@
 	"lagooncourse/internal/plat/ports"
 )
 
-// Farm stands in for the workers of the platform. It has no clock of its own:
-// the instant comes with each call, so that pure tests can play hours in
-// milliseconds. It records each broken promise.
+// Farm fakes the workers of the platform without network or timers. The caller
+// passes the current time to each call, so that tests can simulate hours in
+// milliseconds. Farm checks each start and records violations of the scheduler's
+// guarantees.
 type Farm struct {
 	mu      sync.Mutex
 	rand    *rand.Rand
 	workers map[string]*farmWorker
-	ids     []string // of the workers, in order
+	ids     []string // worker IDs in a fixed order
 	specs   map[string]sched.Spec
 	limits  map[string]jobs.Size
 	faults  FarmFaults
 	late    []lateOrder
 	broken  []string
-	acked   map[string]bool // tasks whose successful end has been taken note of
-	done    map[string]bool // tasks that have ended well
+	acked   map[string]bool // tasks whose successful end the scheduler has acknowledged
+	done    map[string]bool // tasks that have ended successfully
 	starts  int
 }
 
-// FarmFaults are the troubles in force. Shares lie between 0 and 1.
+// FarmFaults holds the injected faults, as probabilities between 0 and 1.
 type FarmFaults struct {
-	Lost float64 // orders that are carried out and not answered
-	Late float64 // orders that are not answered and carried out seconds later
-	Fail float64 // runs that fail
+	Lost float64 // an order is carried out but not answered
+	Late float64 // an order is not answered and carried out seconds later
+	Fail float64 // a run fails
 }
 
-// FarmConfig describes a Farm.
+// FarmConfig is the configuration of a Farm.
 type FarmConfig struct {
 	Workers  int
 	Capacity jobs.Size
-	Rack     int // workers in a rack
+	Rack     int // workers per rack
 	Azs      []string
 	Service  string
 	Seed     int64
 }
 
-// farmWorker is one worker. Its clock runs 2% slow.
+// farmWorker is one worker.
 type farmWorker struct {
 	info   sched.WorkerInfo
 	bootMs int64
-	fence  int64
-	lease  int64 // end, on its clock
-	runs   map[string]*farmRun
-	ended  []sched.Finished
-	n      int64
-	floor  map[string]int // run numbers up to which starts of a task are refused
-	lapsed int64          // highest end that was listed when a lease ran out
-	cut    bool           // no call reaches it
-	down   bool           // it does not run
+	fence  int64               // highest fencing token received
+	lease  int64               // end of the lease, on the worker's clock
+	runs   map[string]*farmRun // by task
+	ended  []sched.Finished    // ends that are not acknowledged
+	n      int64               // number of the last end
+	floor  map[string]int      // by task: highest run number that has ended or was stopped
+	lapsed int64               // n when the lease last expired; the scheduler may have rerun these tasks
+	cut    bool                // calls to the worker fail
+	down   bool                // the worker is not running
 }
 
 type farmRun struct {
@@ -71,24 +72,25 @@
 	startMs int64
 	runMs   int64
 	fails   bool
-	gang    string // step and run that the members share; empty for a single task
-	members int
+	gang    string // gang ID: step and run number; empty if the task is in no gang
+	members int    // size of the gang
 }
 
+// lateOrder is an order, either a start or a stop, that is carried out at atMs.
 type lateOrder struct {
 	atMs  int64
 	start *ports.StartOrder
 	stop  *ports.StopOrder
 }
 
-// Spans of late orders, by the platform's pages.
+// Delays and timeouts of the platform, as it specifies them.
 const (
-	lateLeastMs = 2_000
-	lateMostMs  = 12_000
-	gangMs      = 3_000 // a member waits so long for the others
+	lateLeastMs = 2_000  // minimum delay of a late order
+	lateMostMs  = 12_000 // maximum delay of a late order
+	gangMs      = 3_000  // time that a gang member waits for the other members
 )
 
-// NewFarm returns workers that run nothing.
+// NewFarm returns a farm of idle workers.
 func NewFarm(cfg FarmConfig) *Farm {
 	f := &Farm{
 		rand: rand.New(rand.NewSource(cfg.Seed)), workers: map[string]*farmWorker{}, specs: map[string]sched.Spec{},
@@ -109,24 +111,24 @@
 	return f
 }
 
-// SetFaults replaces the troubles in force.
+// SetFaults replaces the injected faults.
 func (f *Farm) SetFaults(faults FarmFaults) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.faults = faults
 }
 
-// Know tells the farm what a job asks for, so that it can judge its starts.
+// Know registers a job. The farm needs its spec to run and check its tasks.
 func (f *Farm) Know(spec sched.Spec) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.specs[spec.ID] = spec
 }
 
-// SetLimit tells the farm a team's limit.
+// SetLimit sets the quota of a team, which the farm checks at each start.
 func (f *Farm) SetLimit(team string, limit jobs.Size) { f.limits[team] = limit }
 
-// Entries returns the registry entries of the workers that run.
+// Entries returns the registry entries of the running workers.
 func (f *Farm) Entries() []sched.WorkerInfo {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -140,15 +142,15 @@
 	return list
 }
 
-// Cut stops or restores all calls to a worker, which runs on.
+// Cut makes all calls to a worker fail, or ends that. The worker keeps running.
 func (f *Farm) Cut(id string, on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.workers[id].cut = on
 }
 
-// Reboot ends all that runs on a worker, which forgets everything and starts
-// anew under its id.
+// Reboot restarts a worker: all its runs end, its state is lost, and a new
+// incarnation starts with the same ID.
 func (f *Farm) Reboot(id string, nowMs int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -169,28 +171,28 @@
 	rest := f.late[:0]
 	for _, o := range f.late {
 		if o.start != nil && o.start.Peer.ID == id || o.stop != nil && o.stop.Peer.ID == id {
-			continue // the connection has ended with the process
+			continue // the connection was closed when the process ended
 		}
 		rest = append(rest, o)
 	}
 	f.late = rest
 }
 
-// Broken returns the promises that were broken.
+// Broken describes the violations found so far.
 func (f *Farm) Broken() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return append([]string(nil), f.broken...)
 }
 
-// Starts returns how many runs were started.
+// Starts returns the number of runs started so far.
 func (f *Farm) Starts() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.starts
 }
 
-// Running returns how many runs are under way.
+// Running returns the number of active runs.
 func (f *Farm) Running() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -201,11 +203,12 @@
 	return n
 }
 
-// clock returns the worker's clock: 2% slow, from its boot.
+// clock returns the time of the worker's clock, which runs 2% slow and restarts
+// at 1000 at each boot.
 func (w *farmWorker) clock(nowMs int64) int64 { return (nowMs-w.bootMs)*98/100 + 1000 }
 
-// Advance ends what has run its time or outlived its lease, and carries out
-// late orders.
+// Advance carries out late orders that are due and ends the runs that have
+// completed or whose lease has expired.
 func (f *Farm) Advance(nowMs int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -219,7 +222,7 @@
 		case o.atMs > nowMs:
 			rest = append(rest, o)
 		case o.start != nil:
-			_ = f.start(*o.start, nowMs) // a late order has nobody to answer to
+			_ = f.start(*o.start, nowMs) // the caller of a late order gets no answer
 		default:
 			_ = f.stop(*o.stop, nowMs)
 		}
@@ -234,7 +237,7 @@
 		for _, task := range slices.Sorted(maps.Keys(w.runs)) {
 			r := w.runs[task]
 			if r == nil {
-				continue // it has ended with another member of its gang
+				continue // already ended with another member of its gang
 			}
 			from := r.startMs
 			if r.gang != "" {
@@ -258,12 +261,13 @@
 	}
 }
 
-// gang is how many members of a gang are present, and since when the last is.
+// gang counts the members of a gang that are running.
 type gang struct {
 	n       int
-	sinceMs int64
+	sinceMs int64 // start time of the latest member
 }
 
+// gangs returns the state of all gangs by ID.
 func (f *Farm) gangs() map[string]gang {
 	all := map[string]gang{}
 	for _, w := range f.workers {
@@ -277,7 +281,8 @@
 	return all
 }
 
-// together ends the other members of a gang with one: as done, or broken.
+// together ends the remaining members of a gang after one has ended: as done if
+// that one was done, otherwise as broken.
 func (f *Farm) together(name string, how sched.How) {
 	if how != sched.EndDone {
 		how = sched.EndBroken
@@ -293,6 +298,7 @@
 	}
 }
 
+// finish ends a run and the other members of its gang.
 func (f *Farm) finish(w *farmWorker, task string, r *farmRun, how sched.How) {
 	delete(w.runs, task)
 	w.n++
@@ -306,23 +312,24 @@
 	}
 }
 
-// judge records what a start breaks.
+// judge checks a start against the capacity of the worker, the quota of the team
+// and the other runs of the task, and records violations.
 func (f *Farm) judge(w *farmWorker, o ports.StartOrder, spec sched.Spec, step sched.Step) {
 	used := step.Size
 	for _, r := range w.runs {
 		used = used.Plus(r.size)
 	}
 	if !used.Fits(w.info.Capacity) {
-		f.breaks("limit: %s starts on %s, which would hold %s", o.Task, o.Peer.ID, used)
+		f.breaks("capacity: %s starts on %s, which would then use %s", o.Task, o.Peer.ID, used)
 	}
 	if f.acked[o.Task] {
-		f.breaks("twice: %s starts after its end was taken note of", o.Task)
+		f.breaks("duplicate: %s starts after its successful end was acknowledged", o.Task)
 	}
 	team := step.Size
 	for _, other := range f.workers {
 		for task, r := range other.runs {
 			if task == o.Task && !step.Copies {
-				f.breaks("twice: %s run %d starts on %s while run %d is on %s", task, o.Run, o.Peer.ID, r.run, other.info.ID)
+				f.breaks("duplicate: %s run %d starts on %s while run %d is on %s", task, o.Run, o.Peer.ID, r.run, other.info.ID)
 			}
 			if r.team == spec.Team {
 				team = team.Plus(r.size)
@@ -330,18 +337,18 @@
 		}
 	}
 	if limit, ok := f.limits[spec.Team]; ok && !team.Fits(limit) {
-		f.breaks("quota: team %s would run %s", spec.Team, team)
+		f.breaks("quota: team %s would use %s", spec.Team, team)
 	}
 	f.judgeOrder(o, spec, step)
 }
 
-// judgeOrder checks that the steps before are done.
+// judgeOrder checks that all tasks of the steps that this one depends on are done.
 func (f *Farm) judgeOrder(o ports.StartOrder, spec sched.Spec, step sched.Step) {
 	ref, _ := sched.ParseRef(o.Task)
 	for _, d := range step.After {
 		for i := range spec.Steps[d].Count {
 			if before := (sched.Ref{Job: ref.Job, Occ: ref.Occ, Step: d, Index: i}).String(); !f.done[before] {
-				f.breaks("order: %s starts before %s is done", o.Task, before)
+				f.breaks("dependency: %s starts before %s is done", o.Task, before)
 			}
 		}
 	}
@@ -353,7 +360,7 @@
 
 func refused(r ports.Refusal) error { return &ports.RefusedError{Reason: r, Status: 409} }
 
-// guard applies the fence.
+// guard refuses a stale fencing token and stores a new one.
 func (w *farmWorker) guard(token int64) error {
 	if token < w.fence {
 		return refused(ports.RefusedFence)
@@ -362,7 +369,7 @@
 	return nil
 }
 
-// start carries out an order. The caller holds the lock.
+// start carries out a start order. The caller holds f.mu.
 func (f *Farm) start(o ports.StartOrder, nowMs int64) error {
 	w := f.workers[o.Peer.ID]
 	if err := w.guard(o.Token); err != nil {
@@ -393,7 +400,7 @@
 	return nil
 }
 
-// stop carries out an order. The caller holds the lock.
+// stop carries out a stop order. The caller holds f.mu.
 func (f *Farm) stop(o ports.StopOrder, nowMs int64) error {
 	w := f.workers[o.Peer.ID]
 	if err := w.guard(o.Token); err != nil {
@@ -406,16 +413,16 @@
 	return nil
 }
 
-// HoldMaxMs is the longest lease that a worker of the farm grants.
+// HoldMaxMs is the maximum lease duration that a worker of a Farm grants.
 const HoldMaxMs = 10_000
 
-// renew takes a lease, shortened to the longest that is granted.
+// renew extends the lease to end, limited to HoldMaxMs from now.
 func (w *farmWorker) renew(end, nowMs int64) {
 	w.lease = max(w.lease, min(end, w.clock(nowMs)+HoldMaxMs))
 }
 
-// fate draws what becomes of an order: -1 is lost on the way back, 0 is
-// answered, and more is the delay of a late one.
+// fate draws the fault of an order: 0 means none, -1 means that the answer is
+// lost, and a positive number is the delay of a late order in milliseconds.
 func (f *Farm) fate() int64 {
 	x := f.rand.Float64()
 	switch {
@@ -427,7 +434,7 @@
 	return 0
 }
 
-// reach returns the worker if calls for that incarnation reach it.
+// reach returns the worker, or errNoAnswer if it is unreachable.
 func (f *Farm) reach(p ports.Peer) (*farmWorker, error) {
 	w := f.workers[p.ID]
 	if w == nil || w.cut || w.down {
@@ -436,7 +443,8 @@
 	return w, nil
 }
 
-// StartAt is a start that arrives at the instant nowMs.
+// StartAt handles a start order at time nowMs and returns the time of the
+// worker's clock.
 func (f *Farm) StartAt(o ports.StartOrder, nowMs int64) (clock int64, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -450,13 +458,13 @@
 		f.late = append(f.late, lateOrder{atMs: nowMs + d, start: &o})
 		return 0, errNoAnswer
 	case d < 0:
-		_ = f.start(o, nowMs) // carried out, and the answer is lost
+		_ = f.start(o, nowMs) // carried out; only the answer is lost
 		return 0, errNoAnswer
 	}
 	return w.clock(nowMs), f.start(o, nowMs)
 }
 
-// StopAt is a stop that arrives at the instant nowMs.
+// StopAt handles a stop order at time nowMs.
 func (f *Farm) StopAt(o ports.StopOrder, nowMs int64) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -469,13 +477,13 @@
 		f.late = append(f.late, lateOrder{atMs: nowMs + d, stop: &o})
 		return errNoAnswer
 	case d < 0:
-		_ = f.stop(o, nowMs) // carried out, and the answer is lost
+		_ = f.stop(o, nowMs) // carried out; only the answer is lost
 		return errNoAnswer
 	}
 	return f.stop(o, nowMs)
 }
 
-// HoldAt is a renewal that arrives at the instant nowMs.
+// HoldAt handles a lease renewal at time nowMs.
 func (f *Farm) HoldAt(r ports.HoldRequest, nowMs int64) (ports.HoldAnswer, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -497,7 +505,7 @@
 	return h, nil
 }
 
-// forget drops the ends that were taken note of.
+// forget drops the acknowledged ends, whose numbers are at most seen.
 func (f *Farm) forget(w *farmWorker, seen int64) {
 	rest := w.ended[:0]
 	for _, e := range w.ended {
@@ -512,5 +520,5 @@
 	w.ended = rest
 }
 
-// errNoAnswer is the end of a call to which nobody answers.
+// errNoAnswer is the error of a call that gets no answer.
 var errNoAnswer = fault.New(fault.Timeout, fault.Unknown, "no answer")
--- a/internal/plat/fakes/grid.go
+++ b/internal/plat/fakes/grid.go
@@ -6,19 +6,19 @@
 	"lagooncourse/internal/plat/hosts"
 )
 
-// GridConfig describes a regular fleet: racks of equal workers that are dealt
-// to the availability zones in turn.
+// GridConfig describes a fleet of racks with identical workers. The racks are
+// assigned to the availability zones round-robin.
 type GridConfig struct {
 	Azs        []string
 	Workers    int
 	RackSize   int
 	CPU        int64 // millicores of each worker
 	Mem        int64 // MiB of each worker
-	Accel      int64 // devices of each worker that has any
-	AccelEvery int   // every so many workers has devices; 0 means none
+	Accel      int64 // devices of each worker with accelerators
+	AccelEvery int   // every AccelEvery-th worker has accelerators; 0 means none
 }
 
-// Workers lists the workers of the fleet.
+// Workers returns the workers of the fleet.
 func Workers(cfg GridConfig) []hosts.Worker {
 	list := make([]hosts.Worker, 0, cfg.Workers)
 	for i := range cfg.Workers {
@@ -35,7 +35,8 @@
 	return list
 }
 
-// TargetsConfig describes the executors of a service, eight to a rack.
+// TargetsConfig describes the executors of a service, eight per rack. The racks
+// are assigned to the availability zones round-robin.
 type TargetsConfig struct {
 	Service string
 	Azs     []string
@@ -46,7 +47,7 @@
 
 const targetsInRack = 8
 
-// Targets lists the executors of a service.
+// Targets returns the executors of the service.
 func Targets(cfg TargetsConfig) []hosts.Target {
 	list := make([]hosts.Target, 0, cfg.Count)
 	for i := range cfg.Count {
--- a/internal/plat/fakes/log.go
+++ b/internal/plat/fakes/log.go
@@ -16,31 +16,31 @@
 	"lagooncourse/internal/plat/stream"
 )
 
-// LogConfig describes a log stand-in.
+// LogConfig is the configuration of a Log.
 type LogConfig struct {
 	Addr             string
-	AppendsPerSecond int           // budget for all streams together; 0 means no limit
-	Retention        time.Duration // records older than this disappear; 0 keeps them
+	AppendsPerSecond int           // rate limit of appends to all streams together; 0 means no limit
+	Retention        time.Duration // records older than this expire; 0 keeps them
 }
 
-// LogSwitch brings about failures of the log.
+// LogSwitch sets the injected faults of a Log.
 type LogSwitch struct {
-	Outage      bool  `json:"outage"`      // every request ends without an answer
-	SlowMs      int64 `json:"slowMs"`      // added to every request
-	LoseAnswers int   `json:"loseAnswers"` // so many appends take effect and are not answered
-	DropAppends int   `json:"dropAppends"` // so many appends are neither done nor answered
-	KeepLast    int   `json:"keepLast"`    // truncate every stream to its last records now; 0 does nothing
+	Outage      bool  `json:"outage"`      // every request fails without an answer
+	SlowMs      int64 `json:"slowMs"`      // delay of every request in milliseconds
+	LoseAnswers int   `json:"loseAnswers"` // this many appends take effect but are not answered
+	DropAppends int   `json:"dropAppends"` // this many appends have no effect and are not answered
+	KeepLast    int   `json:"keepLast"`    // truncates every stream to this many records, once; 0 does nothing
 }
 
-// LogStats counts what the log did.
+// LogStats holds the counters of a Log.
 type LogStats struct {
 	Appends int64 `json:"appends"`
-	Refused int64 `json:"refused"` // over the append budget
+	Refused int64 `json:"refused"` // appends refused by the rate limit
 	Reads   int64 `json:"reads"`
-	Bytes   int64 `json:"bytes"` // appended
+	Bytes   int64 `json:"bytes"` // bytes appended
 }
 
-// Log is a stand-in for the platform's log service.
+// Log fakes the platform's log service.
 type Log struct {
 	cfg    LogConfig
 	srv    *httpd.Server
@@ -73,7 +73,7 @@
 
 // StartLog starts a log on cfg.Addr.
 func StartLog(cfg LogConfig) (l *Log, err error) {
-	defer fault.Note(&err, "start log stand-in")
+	defer fault.Note(&err, "start fake log")
 	limit := rate.NewLimiter(rate.Inf, 0)
 	if cfg.AppendsPerSecond > 0 {
 		limit = rate.NewLimiter(rate.Limit(cfg.AppendsPerSecond), appendBurst)
@@ -96,13 +96,13 @@
 // URL returns the base URL of the log.
 func (l *Log) URL() string { return l.srv.URL() }
 
-// Close stops the log at once.
+// Close stops the log immediately.
 func (l *Log) Close() {
 	l.cancel()
 	l.srv.Close()
 }
 
-// Set throws the switches.
+// Set replaces the injected faults.
 func (l *Log) Set(s LogSwitch) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -121,7 +121,7 @@
 	return l.stats
 }
 
-// Records returns every record of a stream that retention has kept.
+// Records returns the retained records of a stream.
 func (l *Log) Records(name string) []stream.Record {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -133,7 +133,7 @@
 	return records
 }
 
-// guard applies outage and slowness to a handler.
+// guard wraps a handler with the faults SlowMs and Outage.
 func (l *Log) guard(h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		l.mu.Lock()
@@ -163,7 +163,7 @@
 		l.mu.Lock()
 		l.stats.Refused++
 		l.mu.Unlock()
-		httpd.WriteError(w, fault.New(fault.Overload, fault.NotRun, "append budget is used up"))
+		httpd.WriteError(w, fault.New(fault.Overload, fault.NotRun, "append rate limit exceeded"))
 		return
 	}
 	offset, answered := l.add(pathvar.Vars(r)["name"], req.Data)
@@ -174,8 +174,8 @@
 	httpd.WriteJSON(w, stream.AppendAnswer{Offset: offset})
 }
 
-// add appends a record unless a switch drops it. The second result says
-// whether the caller gets an answer.
+// add appends a record unless a fault drops it. It reports whether the caller
+// gets an answer.
 func (l *Log) add(name string, data []byte) (offset int64, answered bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -232,6 +232,8 @@
 	return l.sw.Outage
 }
 
+// page returns records of a stream and a channel that is closed at the next
+// append.
 func (l *Log) page(name string, from int64, most int) (stream.Page, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -248,7 +250,8 @@
 	return p, st.changed
 }
 
-// stream returns the named stream; the caller holds the lock.
+// stream returns the named stream and creates it if needed. The caller holds
+// l.mu.
 func (l *Log) stream(name string) *logStream {
 	st := l.streams[name]
 	if st == nil {
@@ -258,6 +261,7 @@
 	return st
 }
 
+// expire drops the records older than age; 0 keeps all.
 func (st *logStream) expire(age time.Duration) {
 	if age == 0 {
 		return
@@ -270,6 +274,7 @@
 	st.drop(n)
 }
 
+// drop removes the first n records.
 func (st *logStream) drop(n int) {
 	if n <= 0 {
 		return
--- a/internal/plat/fakes/store.go
+++ b/internal/plat/fakes/store.go
@@ -10,9 +10,9 @@
 	"lagooncourse/internal/plat/ports"
 )
 
-// Store stands in for the platform's log with keyed topics. It keeps epochs
-// and sequences of writers, forgets old records on request, and can be down,
-// lose answers, or turn single callers away.
+// Store fakes the platform's log with keyed topics. It checks the epochs and
+// sequence numbers of writers, expires old records on request, and can inject
+// faults.
 type Store struct {
 	mu     sync.Mutex
 	rand   *rand.Rand
@@ -22,13 +22,13 @@
 	calls  int
 }
 
-// StoreFaults are the troubles in force. Zero means none.
+// StoreFaults holds the injected faults. The zero value means none.
 type StoreFaults struct {
-	Down   bool            // every call is refused
-	Away   map[string]bool // callers that are turned away
-	Lost   float64         // share of the appends that are done and not answered
-	Delay  time.Duration   // before each answer
-	Silent bool            // with Down or Away: no answer instead of a refusal
+	Down   bool            // refuses every call
+	Away   map[string]bool // callers whose calls are refused
+	Lost   float64         // probability that an append takes effect but is not answered
+	Delay  time.Duration   // delay of each call
+	Silent bool            // with Down or Away: calls get no answer instead of a refusal
 }
 
 type topic struct {
@@ -38,14 +38,15 @@
 	writers map[string]*sequence
 }
 
-// sequence is what the store remembers of one writer.
+// sequence is the state of one writer.
 type sequence struct {
 	epoch  int64
-	next   int64
+	next   int64           // expected sequence number
 	recent map[int64]int64 // sequence number -> offset of the last few appends
 }
 
-// keptAppends is how many appends of a writer can be repeated.
+// keptAppends is the number of a writer's last appends for which a repeated append
+// returns the original offset.
 const keptAppends = 5
 
 // NewStore returns an empty store.
@@ -53,22 +54,22 @@
 	return &Store{rand: rand.New(rand.NewSource(seed)), topics: map[string]*topic{}, grown: make(chan struct{})}
 }
 
-// SetFaults replaces the troubles in force.
+// SetFaults replaces the injected faults.
 func (s *Store) SetFaults(f StoreFaults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 }
 
-// Calls returns how many calls have come.
+// Calls returns the number of calls so far.
 func (s *Store) Calls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
-// Forget drops the records of a topic before its end; the newest of each key
-// stays readable.
+// Forget expires all records of a topic. Newest still returns the newest record
+// of each key.
 func (s *Store) Forget(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -77,17 +78,17 @@
 	t.records = nil
 }
 
-// Put writes a record as the operators or a worker would.
+// Put appends a record without a writer, as the operators and workers do.
 func (s *Store) Put(name, key string, value []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.add(s.topic(name), []ports.Record{{Key: key, Value: value}})
 }
 
-// For returns the store as one caller reaches it.
+// For returns a client of the store for the named caller.
 func (s *Store) For(caller string) ports.Store { return &storeClient{store: s, caller: caller} }
 
-// topic returns a topic. The caller holds the lock.
+// topic returns the named topic and creates it if needed. The caller holds s.mu.
 func (s *Store) topic(name string) *topic {
 	t := s.topics[name]
 	if t == nil {
@@ -97,7 +98,7 @@
 	return t
 }
 
-// add appends records. The caller holds the lock.
+// add appends records and returns the offset of the first. The caller holds s.mu.
 func (s *Store) add(t *topic, records []ports.Record) int64 {
 	offset := t.first + int64(len(t.records))
 	for i, r := range records {
@@ -113,6 +114,7 @@
 	return offset
 }
 
+// storeClient is the store as used by one caller.
 type storeClient struct {
 	store  *Store
 	caller string
@@ -120,7 +122,7 @@
 
 var _ ports.Store = (*storeClient)(nil)
 
-// enter applies the troubles to a call.
+// enter counts a call and applies the injected faults to it.
 func (c *storeClient) enter(ctx context.Context) error {
 	s := c.store
 	s.mu.Lock()
@@ -132,7 +134,7 @@
 		defer t.Stop()
 		select {
 		case <-ctx.Done():
-			return fault.New(fault.Timeout, fault.NotRun, "store is slow")
+			return fault.New(fault.Timeout, fault.NotRun, "deadline exceeded before the delayed store answered")
 		case <-t.C:
 		}
 	}
@@ -141,12 +143,12 @@
 	}
 	if f.Silent {
 		<-ctx.Done()
-		return fault.New(fault.Timeout, fault.NotRun, "store is silent")
+		return fault.New(fault.Timeout, fault.NotRun, "store does not answer")
 	}
 	return &ports.RefusedError{Reason: ports.RefusedBusy, Status: 503}
 }
 
-// Append adds records; see ports.Store.
+// Append appends records; see ports.Store.
 func (c *storeClient) Append(ctx context.Context, r ports.AppendRequest) (int64, error) {
 	if err := c.enter(ctx); err != nil {
 		return 0, err
@@ -156,11 +158,13 @@
 	defer s.mu.Unlock()
 	offset, err := s.append(r)
 	if err == nil && s.rand.Float64() < s.faults.Lost {
-		return 0, fault.New(fault.Timeout, fault.Unknown, "the answer is lost")
+		return 0, fault.New(fault.Timeout, fault.Unknown, "answer lost")
 	}
 	return offset, err
 }
 
+// append checks the epoch and sequence number of the writer, if any, and appends
+// the records. The caller holds s.mu.
 func (s *Store) append(r ports.AppendRequest) (int64, error) {
 	t := s.topic(r.Topic)
 	if r.Writer == "" {
@@ -217,7 +221,7 @@
 		case <-deadline.C:
 			r.Wait = 0
 		case <-ctx.Done():
-			return ports.Page{}, fault.New(fault.Timeout, fault.NotRun, "read ended")
+			return ports.Page{}, fault.New(fault.Timeout, fault.NotRun, "deadline exceeded while waiting for a record")
 		}
 	}
 }
--- a/internal/plat/fakes/worker.go
+++ b/internal/plat/fakes/worker.go
@@ -17,23 +17,23 @@
 	"lagooncourse/internal/plat/worker"
 )
 
-// FleetConfig describes a fleet of workers behind one address.
+// FleetConfig is the configuration of a Fleet.
 type FleetConfig struct {
 	Addr    string
-	Workers []hosts.Worker // URL is filled in
+	Workers []hosts.Worker // StartFleet sets the URLs
 }
 
-// WorkerSwitch brings about failures of one worker.
+// WorkerSwitch sets the injected faults of one worker.
 type WorkerSwitch struct {
 	Worker    string      `json:"worker"`
-	FailAll   bool        `json:"failAll"` // every task fails as soon as it starts
-	Paused    bool        `json:"paused"`  // requests get no answer until this ends; leases go on to run out
-	Dead      bool        `json:"dead"`    // no request is answered, and all tasks are gone
-	LoseStart int         `json:"loseStart"`
-	State     hosts.State `json:"state"` // in the host list; empty leaves it
+	FailAll   bool        `json:"failAll"`   // every task fails right after its start
+	Paused    bool        `json:"paused"`    // requests block until this is unset; leases still expire
+	Dead      bool        `json:"dead"`      // the worker loses all tasks and answers no request
+	LoseStart int         `json:"loseStart"` // this many starts take effect but are not answered
+	State     hosts.State `json:"state"`     // state in the host list; empty does not change it
 }
 
-// Run is what a worker recorded about one attempt.
+// Run records one attempt that a worker started.
 type Run struct {
 	Worker  string     `json:"worker"`
 	Az      string     `json:"az"`
@@ -41,21 +41,21 @@
 	Attempt int        `json:"attempt"`
 	Class   string     `json:"class"`
 	StartMs int64      `json:"startMs"`
-	EndMs   int64      `json:"endMs"` // 0 while it runs
+	EndMs   int64      `json:"endMs"` // 0 while the attempt is running
 	End     worker.End `json:"end"`
 	CPU     int64      `json:"cpu"`
 	Mem     int64      `json:"mem"`
 	Accel   int64      `json:"accel"`
 }
 
-// Fleet is a stand-in for a number of workers.
+// Fleet fakes a number of workers that share one HTTP server.
 type Fleet struct {
 	srv     *httpd.Server
 	workers map[string]*fakeWorker
 	order   []string
 }
 
-// fakeWorker is one worker. Its lock guards all fields below it.
+// fakeWorker is one worker. mu guards all fields below it, and host.State.
 type fakeWorker struct {
 	host hosts.Worker
 
@@ -70,7 +70,7 @@
 	running  map[worker.Attempt]*fakeTask
 	finished map[worker.Attempt]worker.Finished
 	runs     []*Run
-	over     int // starts that exceeded the capacity
+	over     int // number of starts that exceeded the capacity
 }
 
 type fakeTask struct {
@@ -83,7 +83,7 @@
 
 // StartFleet starts the workers on cfg.Addr.
 func StartFleet(cfg FleetConfig) (f *Fleet, err error) {
-	defer fault.Note(&err, "start worker stand-in")
+	defer fault.Note(&err, "start fake workers")
 	f = &Fleet{workers: map[string]*fakeWorker{}}
 	f.srv, err = httpd.Listen(httpd.Config{Name: "fleet", Addr: cfg.Addr, Routes: []rest.Route{
 		post("/w/:id/start", f.handler((*fakeWorker).start)),
@@ -115,10 +115,10 @@
 	return f, nil
 }
 
-// URL returns the base URL under which the fleet serves its host list.
+// URL returns the base URL of the fleet, which serves its host list.
 func (f *Fleet) URL() string { return f.srv.URL() }
 
-// Close stops all workers at once.
+// Close stops all workers immediately.
 func (f *Fleet) Close() { f.srv.Close() }
 
 // List returns the fleet's part of the host list.
@@ -134,7 +134,7 @@
 	return l
 }
 
-// Runs returns what all workers recorded.
+// Runs returns the recorded runs of all workers.
 func (f *Fleet) Runs() []Run {
 	runs := []Run{}
 	for _, id := range f.order {
@@ -148,7 +148,7 @@
 	return runs
 }
 
-// Overcommits returns how many starts exceeded a worker's capacity.
+// Overcommits returns the number of starts that exceeded a worker's capacity.
 func (f *Fleet) Overcommits() int {
 	n := 0
 	for _, w := range f.workers {
@@ -159,7 +159,7 @@
 	return n
 }
 
-// Set throws the switches of one worker. An unknown worker is ignored.
+// Set replaces the injected faults of one worker. It ignores an unknown worker.
 func (f *Fleet) Set(s WorkerSwitch) {
 	w := f.workers[s.Worker]
 	if w == nil {
@@ -182,10 +182,12 @@
 	w.bump()
 }
 
-// pausePoll is how often a request to a paused worker looks whether it may go on.
+// pausePoll is the interval at which a request to a paused worker checks whether
+// the pause has ended.
 const pausePoll = 20 * time.Millisecond
 
-// handler finds the worker and lets its pause and death apply.
+// handler wraps h: it looks up the worker of the request and applies the faults
+// Paused and Dead.
 func (f *Fleet) handler(h func(*fakeWorker, http.ResponseWriter, *http.Request)) http.HandlerFunc {
 	return func(rw http.ResponseWriter, r *http.Request) {
 		w := f.workers[pathvar.Vars(r)["id"]]
@@ -220,18 +222,19 @@
 	return w.sw.Dead
 }
 
-// bump wakes the renewals that wait for a change; the caller holds the lock.
+// bump increments the version and wakes the renewals that wait for a change. The
+// caller holds w.mu.
 func (w *fakeWorker) bump() {
 	w.version++
 	close(w.changed)
 	w.changed = make(chan struct{})
 }
 
-// accepts checks a fencing token and raises the worker's own; the caller holds
-// the lock.
+// accepts refuses a token with a stale epoch and stores a newer epoch. The caller
+// holds w.mu.
 func (w *fakeWorker) accepts(t worker.Token) error {
 	if t.Epoch < w.token.Epoch {
-		return fault.New(fault.Conflict, fault.NotRun, "epoch %d is older than %d", t.Epoch, w.token.Epoch)
+		return fault.New(fault.Conflict, fault.NotRun, "stale epoch %d, current epoch is %d", t.Epoch, w.token.Epoch)
 	}
 	if t.Epoch > w.token.Epoch {
 		w.token = worker.Token{Epoch: t.Epoch}
@@ -256,6 +259,8 @@
 	}
 }
 
+// startTask checks a start request and runs the task. It reports whether to drop
+// the answer.
 func (w *fakeWorker) startTask(req worker.StartRequest) (loseAnswer bool, err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -263,10 +268,10 @@
 		return false, err
 	}
 	if req.Token.Seq < w.token.Seq {
-		return false, fault.New(fault.Conflict, fault.NotRun, "sequence %d is below the floor %d", req.Token.Seq, w.token.Seq)
+		return false, fault.New(fault.Conflict, fault.NotRun, "stale sequence number %d, minimum is %d", req.Token.Seq, w.token.Seq)
 	}
 	if req.Boot != w.boot {
-		return false, fault.New(fault.Conflict, fault.NotRun, "boot %d is not the present %d", req.Boot, w.boot)
+		return false, fault.New(fault.Conflict, fault.NotRun, "request is for boot %d, current boot is %d", req.Boot, w.boot)
 	}
 	if time.Now().After(w.leaseEnd) {
 		return false, fault.New(fault.Conflict, fault.NotRun, "worker %q has no lease", w.host.ID)
@@ -284,8 +289,8 @@
 	return false, nil
 }
 
-// run starts the task. It does so even on a full worker, and counts it, because
-// the judge has to see a scheduler that overcommits.
+// run starts the task. It starts and counts tasks that exceed the capacity too, so
+// that tests detect a scheduler that overcommits. The caller holds w.mu.
 func (w *fakeWorker) run(req worker.StartRequest) {
 	var cpu, mem, accel int64
 	for _, t := range w.running {
@@ -318,10 +323,11 @@
 	w.bump()
 }
 
+// checkpointPrefix precedes the remaining run time in a checkpoint.
 const checkpointPrefix = "remainingMs="
 
-// remaining returns how long the task still runs, from its checkpoint if it
-// has one.
+// remaining returns the remaining run time of the task in milliseconds, from its
+// checkpoint if it has one.
 func remaining(req worker.StartRequest) int64 {
 	if v, ok := strings.CutPrefix(req.Checkpoint, checkpointPrefix); ok {
 		if ms, err := strconv.ParseInt(v, 10, 64); err == nil {
@@ -331,7 +337,7 @@
 	return req.RunMs
 }
 
-// end moves an attempt from running to finished; the caller holds the lock.
+// end moves an attempt from running to finished. The caller holds w.mu.
 func (w *fakeWorker) end(a worker.Attempt, end worker.End) {
 	t := w.running[a]
 	if t == nil {
@@ -388,6 +394,8 @@
 	}
 }
 
+// extend handles a renewal except for its answer. It returns a channel that is
+// closed at the next change.
 func (w *fakeWorker) extend(req worker.RenewRequest) (<-chan struct{}, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -404,6 +412,7 @@
 	return w.changed, nil
 }
 
+// extendLease sets the lease to end after ttl. The caller holds w.mu.
 func (w *fakeWorker) extendLease(ttl time.Duration) {
 	w.leaseEnd = time.Now().Add(ttl)
 	if w.lease != nil {
@@ -412,7 +421,7 @@
 	w.lease = time.AfterFunc(ttl, w.lapse)
 }
 
-// lapse stops every task, because nobody has extended the lease.
+// lapse stops every task if the lease has expired.
 func (w *fakeWorker) lapse() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -425,6 +434,7 @@
 	w.bump()
 }
 
+// inventory returns the inventory and a channel that is closed at the next change.
 func (w *fakeWorker) inventory() (worker.Inventory, <-chan struct{}) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -457,8 +467,7 @@
 	fenced(w, rw, r, func(req worker.ThrottleRequest) worker.Token { return req.Token }, func(worker.ThrottleRequest) {})
 }
 
-// fenced reads a request and does it, with the lock held, if the worker accepts
-// its token.
+// fenced handles a request: it checks its token and calls do with w.mu held.
 func fenced[Req any](
 	w *fakeWorker, rw http.ResponseWriter, r *http.Request, token func(Req) worker.Token, do func(Req),
 ) {
