--- a/internal/plat/fakes/doc.go
+++ b/internal/plat/fakes/doc.go
@@ -28,8 +28,8 @@
 
 const maxSwitchBytes = 64 << 10
 
-// hangUp closes the connection without an answer, as a crash of the process would.
-func hangUp(w http.ResponseWriter) {
+// dropConn closes the connection without an answer, as a crash of the process would.
+func dropConn(w http.ResponseWriter) {
 	hj, ok := w.(http.Hijacker)
 	if !ok {
 		return
--- a/internal/plat/fakes/exec.go
+++ b/internal/plat/fakes/exec.go
@@ -63,13 +63,13 @@
 	workMs int64
 	slots  chan struct{}
 
-	mu      sync.Mutex
-	sw      ExecSwitch
-	busiest int    // maximum of concurrent calls
-	refused int    // calls refused because no slot was free
-	conns   int    // open connections
-	most    int    // maximum of open connections
-	lastID  string // request ID of the last call
+	mu       sync.Mutex
+	sw       ExecSwitch
+	maxCalls int    // maximum of concurrent calls
+	refused  int    // calls refused because no slot was free
+	conns    int    // open connections
+	maxConns int    // maximum of open connections
+	lastID   string // request ID of the last call
 }
 
 // StartExecs starts the executors and their admin server.
@@ -161,7 +161,7 @@
 func (e *Execs) Peaks() (p ExecPeaks) {
 	for _, x := range e.execs {
 		x.mu.Lock()
-		p.Slots, p.Conns, p.Refused = max(p.Slots, x.busiest), max(p.Conns, x.most), p.Refused+x.refused
+		p.Slots, p.Conns, p.Refused = max(p.Slots, x.maxCalls), max(p.Conns, x.maxConns), p.Refused+x.refused
 		x.mu.Unlock()
 	}
 	return p
@@ -188,7 +188,7 @@
 	switch s {
 	case http.StateNew:
 		x.conns++
-		x.most = max(x.most, x.conns)
+		x.maxConns = max(x.maxConns, x.conns)
 	case http.StateClosed, http.StateHijacked:
 		x.conns--
 	}
@@ -220,7 +220,7 @@
 func (x *fakeExec) begin(id string) (ExecSwitch, string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.busiest = max(x.busiest, len(x.slots))
+	x.maxCalls = max(x.maxCalls, len(x.slots))
 	previous := x.lastID
 	x.lastID = id
 	return x.sw, previous
@@ -246,7 +246,7 @@
 		sleepCtx(r.Context(), time.Duration(sw.LateMs)*time.Millisecond)
 	}
 	if sw.HangUp {
-		hangUp(w)
+		dropConn(w)
 		return
 	}
 	id := r.Header.Get(target.HeaderID)
@@ -262,7 +262,7 @@
 	if sw.Cut {
 		_, _ = w.Write(body[:len(body)/2])
 		_ = http.NewResponseController(w).Flush()
-		hangUp(w)
+		dropConn(w)
 		return
 	}
 	_, _ = w.Write(body)
--- a/internal/plat/fakes/farm.go
+++ b/internal/plat/fakes/farm.go
@@ -19,18 +19,18 @@
 // milliseconds. Farm checks each start and records violations of the scheduler's
 // guarantees.
 type Farm struct {
-	mu      sync.Mutex
-	rand    *rand.Rand
-	workers map[string]*farmWorker
-	ids     []string // worker IDs in a fixed order
-	specs   map[string]sched.Spec
-	limits  map[string]jobs.Size
-	faults  FarmFaults
-	late    []lateOrder
-	broken  []string
-	acked   map[string]bool // tasks whose successful end the scheduler has acknowledged
-	done    map[string]bool // tasks that have ended successfully
-	starts  int
+	mu         sync.Mutex
+	rand       *rand.Rand
+	workers    map[string]*farmWorker
+	ids        []string // worker IDs in a fixed order
+	specs      map[string]sched.Spec
+	limits     map[string]jobs.Size
+	faults     FarmFaults
+	late       []lateOrder
+	violations []string
+	acked      map[string]bool // tasks whose successful end the scheduler has acknowledged
+	done       map[string]bool // tasks that have ended successfully
+	starts     int
 }
 
 // FarmFaults holds the injected faults, as probabilities between 0 and 1.
@@ -52,17 +52,17 @@
 
 // farmWorker is one worker.
 type farmWorker struct {
-	info   sched.WorkerInfo
-	bootMs int64
-	fence  int64               // highest fencing token received
-	lease  int64               // end of the lease, on the worker's clock
-	runs   map[string]*farmRun // by task
-	ended  []sched.Finished    // ends that are not acknowledged
-	n      int64               // number of the last end
-	floor  map[string]int      // by task: highest run number that has ended or was stopped
-	lapsed int64               // n when the lease last expired; the scheduler may have rerun these tasks
-	cut    bool                // calls to the worker fail
-	down   bool                // the worker is not running
+	info        sched.WorkerInfo
+	bootMs      int64
+	maxToken    int64               // highest fencing token received
+	leaseEnd    int64               // end of the lease, on the worker's clock
+	runs        map[string]*farmRun // by task
+	ended       []sched.Finished    // ends that are not acknowledged
+	n           int64               // number of the last end
+	endedRun    map[string]int      // by task: highest run number that has ended or was stopped
+	lapsedN     int64               // n when the lease last expired; the scheduler may have rerun these tasks
+	unreachable bool                // calls to the worker fail
+	down        bool                // the worker is not running
 }
 
 type farmRun struct {
@@ -85,9 +85,9 @@
 
 // Delays and timeouts of the platform, as it specifies them.
 const (
-	lateLeastMs = 2_000  // minimum delay of a late order
-	lateMostMs  = 12_000 // maximum delay of a late order
-	gangMs      = 3_000  // time that a gang member waits for the other members
+	minLateMs     = 2_000  // minimum delay of a late order
+	maxLateMs     = 12_000 // maximum delay of a late order
+	gangTimeoutMs = 3_000  // time that a gang member waits for the other members
 )
 
 // NewFarm returns a farm of idle workers.
@@ -104,7 +104,7 @@
 				ID: id, Addr: id, Service: cfg.Service, Az: cfg.Azs[i%len(cfg.Azs)], Rack: rack, Labels: []string{"a", rack},
 				Capacity: cfg.Capacity, Born: 1,
 			},
-			runs: map[string]*farmRun{}, floor: map[string]int{},
+			runs: map[string]*farmRun{}, endedRun: map[string]int{},
 		}
 		f.ids = append(f.ids, id)
 	}
@@ -146,7 +146,7 @@
 func (f *Farm) Cut(id string, on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.workers[id].cut = on
+	f.workers[id].unreachable = on
 }
 
 // Reboot restarts a worker: all its runs end, its state is lost, and a new
@@ -156,7 +156,7 @@
 	defer f.mu.Unlock()
 	w := f.workers[id]
 	w.info.Born++
-	w.bootMs, w.fence, w.lease, w.n, w.lapsed = nowMs, 0, 0, 0, 0
+	w.bootMs, w.maxToken, w.leaseEnd, w.n, w.lapsedN = nowMs, 0, 0, 0, 0
 	for _, task := range slices.Sorted(maps.Keys(w.runs)) {
 		r := w.runs[task]
 		if r == nil {
@@ -164,10 +164,10 @@
 		}
 		delete(w.runs, task)
 		if r.gang != "" {
-			f.together(r.gang, sched.EndLost)
+			f.finishGang(r.gang, sched.EndLost)
 		}
 	}
-	w.runs, w.ended, w.floor = map[string]*farmRun{}, nil, map[string]int{}
+	w.runs, w.ended, w.endedRun = map[string]*farmRun{}, nil, map[string]int{}
 	rest := f.late[:0]
 	for _, o := range f.late {
 		if o.start != nil && o.start.Peer.ID == id || o.stop != nil && o.stop.Peer.ID == id {
@@ -182,7 +182,7 @@
 func (f *Farm) Broken() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return append([]string(nil), f.broken...)
+	return append([]string(nil), f.violations...)
 }
 
 // Starts returns the number of runs started so far.
@@ -231,8 +231,8 @@
 	gangs := f.gangs()
 	for _, id := range f.ids {
 		w := f.workers[id]
-		if w.clock(nowMs) >= w.lease {
-			w.lapsed = w.n
+		if w.clock(nowMs) >= w.leaseEnd {
+			w.lapsedN = w.n
 		}
 		for _, task := range slices.Sorted(maps.Keys(w.runs)) {
 			r := w.runs[task]
@@ -248,9 +248,9 @@
 				}
 			}
 			switch {
-			case w.clock(nowMs) >= w.lease:
+			case w.clock(nowMs) >= w.leaseEnd:
 				f.finish(w, task, r, sched.EndLapsed)
-			case r.gang != "" && gangs[r.gang].n < r.members && nowMs-r.startMs > gangMs:
+			case r.gang != "" && gangs[r.gang].n < r.members && nowMs-r.startMs > gangTimeoutMs:
 				f.finish(w, task, r, sched.EndAlone)
 			case nowMs >= from+r.runMs && r.fails:
 				f.finish(w, task, r, sched.EndFailed)
@@ -281,9 +281,9 @@
 	return all
 }
 
-// together ends the remaining members of a gang after one has ended: as done if
+// finishGang ends the remaining members of a gang after one has ended: as done if
 // that one was done, otherwise as broken.
-func (f *Farm) together(name string, how sched.How) {
+func (f *Farm) finishGang(name string, how sched.How) {
 	if how != sched.EndDone {
 		how = sched.EndBroken
 	}
@@ -303,33 +303,33 @@
 	delete(w.runs, task)
 	w.n++
 	w.ended = append(w.ended, sched.Finished{N: w.n, Task: task, Run: r.run, How: how})
-	w.floor[task] = max(w.floor[task], r.run)
+	w.endedRun[task] = max(w.endedRun[task], r.run)
 	if how == sched.EndDone {
 		f.done[task] = true
 	}
 	if r.gang != "" {
-		f.together(r.gang, how)
+		f.finishGang(r.gang, how)
 	}
 }
 
-// judge checks a start against the capacity of the worker, the quota of the team
+// checkStart checks a start against the capacity of the worker, the quota of the team
 // and the other runs of the task, and records violations.
-func (f *Farm) judge(w *farmWorker, o ports.StartOrder, spec sched.Spec, step sched.Step) {
+func (f *Farm) checkStart(w *farmWorker, o ports.StartOrder, spec sched.Spec, step sched.Step) {
 	used := step.Size
 	for _, r := range w.runs {
 		used = used.Plus(r.size)
 	}
 	if !used.Fits(w.info.Capacity) {
-		f.breaks("capacity: %s starts on %s, which would then use %s", o.Task, o.Peer.ID, used)
+		f.addViolation("capacity: %s starts on %s, which would then use %s", o.Task, o.Peer.ID, used)
 	}
 	if f.acked[o.Task] {
-		f.breaks("duplicate: %s starts after its successful end was acknowledged", o.Task)
+		f.addViolation("duplicate: %s starts after its successful end was acknowledged", o.Task)
 	}
 	team := step.Size
 	for _, other := range f.workers {
 		for task, r := range other.runs {
 			if task == o.Task && !step.Copies {
-				f.breaks("duplicate: %s run %d starts on %s while run %d is on %s", task, o.Run, o.Peer.ID, r.run, other.info.ID)
+				f.addViolation("duplicate: %s run %d starts on %s while run %d is on %s", task, o.Run, o.Peer.ID, r.run, other.info.ID)
 			}
 			if r.team == spec.Team {
 				team = team.Plus(r.size)
@@ -337,42 +337,43 @@
 		}
 	}
 	if limit, ok := f.limits[spec.Team]; ok && !team.Fits(limit) {
-		f.breaks("quota: team %s would use %s", spec.Team, team)
+		f.addViolation("quota: team %s would use %s", spec.Team, team)
 	}
-	f.judgeOrder(o, spec, step)
+	f.checkDependencies(o, spec, step)
 }
 
-// judgeOrder checks that all tasks of the steps that this one depends on are done.
-func (f *Farm) judgeOrder(o ports.StartOrder, spec sched.Spec, step sched.Step) {
+// checkDependencies checks that all tasks of the steps that this one depends on are done.
+func (f *Farm) checkDependencies(o ports.StartOrder, spec sched.Spec, step sched.Step) {
 	ref, _ := sched.ParseRef(o.Task)
 	for _, d := range step.After {
 		for i := range spec.Steps[d].Count {
 			if before := (sched.Ref{Job: ref.Job, Occ: ref.Occ, Step: d, Index: i}).String(); !f.done[before] {
-				f.breaks("dependency: %s starts before %s is done", o.Task, before)
+				f.addViolation("dependency: %s starts before %s is done", o.Task, before)
 			}
 		}
 	}
 }
 
-func (f *Farm) breaks(format string, args ...any) {
-	f.broken = append(f.broken, fmt.Sprintf(format, args...))
+// addViolation records a violation of a guarantee.
+func (f *Farm) addViolation(format string, args ...any) {
+	f.violations = append(f.violations, fmt.Sprintf(format, args...))
 }
 
 func refused(r ports.Refusal) error { return &ports.RefusedError{Reason: r, Status: 409} }
 
-// guard refuses a stale fencing token and stores a new one.
-func (w *farmWorker) guard(token int64) error {
-	if token < w.fence {
+// checkToken refuses a stale fencing token and stores a new one.
+func (w *farmWorker) checkToken(token int64) error {
+	if token < w.maxToken {
 		return refused(ports.RefusedFence)
 	}
-	w.fence = token
+	w.maxToken = token
 	return nil
 }
 
 // start carries out a start order. The caller holds f.mu.
 func (f *Farm) start(o ports.StartOrder, nowMs int64) error {
 	w := f.workers[o.Peer.ID]
-	if err := w.guard(o.Token); err != nil {
+	if err := w.checkToken(o.Token); err != nil {
 		return err
 	}
 	if o.LeaseEnd <= w.clock(nowMs) {
@@ -382,13 +383,13 @@
 	if r := w.runs[o.Task]; r != nil && r.run == o.Run {
 		return nil
 	}
-	if o.Run <= w.floor[o.Task] {
+	if o.Run <= w.endedRun[o.Task] {
 		return refused(ports.RefusedOld)
 	}
 	ref, _ := sched.ParseRef(o.Task)
 	spec := f.specs[ref.Job]
 	step := spec.Steps[ref.Step]
-	f.judge(w, o, spec, step)
+	f.checkStart(w, o, spec, step)
 	f.starts++
 	r := &farmRun{
 		run: o.Run, size: step.Size, team: spec.Team, startMs: nowMs, runMs: step.EstimateMs, fails: f.rand.Float64() < f.faults.Fail,
@@ -403,13 +404,13 @@
 // stop carries out a stop order. The caller holds f.mu.
 func (f *Farm) stop(o ports.StopOrder, nowMs int64) error {
 	w := f.workers[o.Peer.ID]
-	if err := w.guard(o.Token); err != nil {
+	if err := w.checkToken(o.Token); err != nil {
 		return err
 	}
 	if r := w.runs[o.Task]; r != nil && r.run <= o.Run {
 		f.finish(w, o.Task, r, sched.EndStopped)
 	}
-	w.floor[o.Task] = max(w.floor[o.Task], o.Run)
+	w.endedRun[o.Task] = max(w.endedRun[o.Task], o.Run)
 	return nil
 }
 
@@ -418,26 +419,26 @@
 
 // renew extends the lease to end, limited to HoldMaxMs from now.
 func (w *farmWorker) renew(end, nowMs int64) {
-	w.lease = max(w.lease, min(end, w.clock(nowMs)+HoldMaxMs))
+	w.leaseEnd = max(w.leaseEnd, min(end, w.clock(nowMs)+HoldMaxMs))
 }
 
-// fate draws the fault of an order: 0 means none, -1 means that the answer is
+// drawFault draws the fault of an order: 0 means none, -1 means that the answer is
 // lost, and a positive number is the delay of a late order in milliseconds.
-func (f *Farm) fate() int64 {
+func (f *Farm) drawFault() int64 {
 	x := f.rand.Float64()
 	switch {
 	case x < f.faults.Late:
-		return lateLeastMs + f.rand.Int63n(lateMostMs-lateLeastMs)
+		return minLateMs + f.rand.Int63n(maxLateMs-minLateMs)
 	case x < f.faults.Late+f.faults.Lost:
 		return -1
 	}
 	return 0
 }
 
-// reach returns the worker, or errNoAnswer if it is unreachable.
-func (f *Farm) reach(p ports.Peer) (*farmWorker, error) {
+// reachable returns the worker, or errNoAnswer if it is unreachable.
+func (f *Farm) reachable(p ports.Peer) (*farmWorker, error) {
 	w := f.workers[p.ID]
-	if w == nil || w.cut || w.down {
+	if w == nil || w.unreachable || w.down {
 		return nil, errNoAnswer
 	}
 	return w, nil
@@ -449,11 +450,11 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.advance(nowMs)
-	w, err := f.reach(o.Peer)
+	w, err := f.reachable(o.Peer)
 	if err != nil {
 		return 0, err
 	}
-	switch d := f.fate(); {
+	switch d := f.drawFault(); {
 	case d > 0:
 		f.late = append(f.late, lateOrder{atMs: nowMs + d, start: &o})
 		return 0, errNoAnswer
@@ -469,10 +470,10 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.advance(nowMs)
-	if _, err := f.reach(o.Peer); err != nil {
+	if _, err := f.reachable(o.Peer); err != nil {
 		return err
 	}
-	switch d := f.fate(); {
+	switch d := f.drawFault(); {
 	case d > 0:
 		f.late = append(f.late, lateOrder{atMs: nowMs + d, stop: &o})
 		return errNoAnswer
@@ -488,11 +489,11 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.advance(nowMs)
-	w, err := f.reach(r.Peer)
+	w, err := f.reachable(r.Peer)
 	if err != nil {
 		return ports.HoldAnswer{}, err
 	}
-	if err := w.guard(r.Token); err != nil {
+	if err := w.checkToken(r.Token); err != nil {
 		return ports.HoldAnswer{}, err
 	}
 	w.renew(r.LeaseEnd, nowMs)
@@ -513,7 +514,7 @@
 			rest = append(rest, e)
 			continue
 		}
-		if e.How == sched.EndDone && e.N > w.lapsed {
+		if e.How == sched.EndDone && e.N > w.lapsedN {
 			f.acked[e.Task] = true
 		}
 	}
--- a/internal/plat/fakes/grid.go
+++ b/internal/plat/fakes/grid.go
@@ -45,13 +45,13 @@
 	Conns   int
 }
 
-const targetsInRack = 8
+const targetsPerRack = 8
 
 // Targets returns the executors of the service.
 func Targets(cfg TargetsConfig) []hosts.Target {
 	list := make([]hosts.Target, 0, cfg.Count)
 	for i := range cfg.Count {
-		rack := i / targetsInRack
+		rack := i / targetsPerRack
 		list = append(list, hosts.Target{
 			ID: fmt.Sprintf("%s-%03d", cfg.Service, i), Service: cfg.Service, Az: cfg.Azs[rack%len(cfg.Azs)],
 			Rack: fmt.Sprintf("r%02d", rack), Slots: cfg.Slots, Conns: cfg.Conns,
--- a/internal/plat/fakes/log.go
+++ b/internal/plat/fakes/log.go
@@ -81,8 +81,8 @@
 	l = &Log{cfg: cfg, limit: limit, streams: map[string]*logStream{}}
 	l.ctx, l.cancel = context.WithCancel(context.Background())
 	l.srv, err = httpd.Listen(httpd.Config{Name: "log", Addr: cfg.Addr, Routes: []rest.Route{
-		post("/streams/:name", l.guard(l.append)),
-		get("/streams/:name", l.guard(l.read)),
+		post("/streams/:name", l.withFaults(l.append)),
+		get("/streams/:name", l.withFaults(l.read)),
 		get("/stats", func(w http.ResponseWriter, _ *http.Request) { httpd.WriteJSON(w, l.Stats()) }),
 		switchRoute(l.Set),
 	}})
@@ -133,8 +133,8 @@
 	return records
 }
 
-// guard wraps a handler with the faults SlowMs and Outage.
-func (l *Log) guard(h http.HandlerFunc) http.HandlerFunc {
+// withFaults wraps a handler with the faults SlowMs and Outage.
+func (l *Log) withFaults(h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		l.mu.Lock()
 		sw := l.sw
@@ -146,7 +146,7 @@
 			}
 		}
 		if sw.Outage {
-			hangUp(w)
+			dropConn(w)
 			return
 		}
 		h(w, r)
@@ -168,7 +168,7 @@
 	}
 	offset, answered := l.add(pathvar.Vars(r)["name"], req.Data)
 	if !answered {
-		hangUp(w)
+		dropConn(w)
 		return
 	}
 	httpd.WriteJSON(w, stream.AppendAnswer{Offset: offset})
@@ -199,12 +199,12 @@
 func (l *Log) read(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	from, _ := strconv.ParseInt(q.Get("from"), 10, 64)
-	most, _ := strconv.Atoi(q.Get("max"))
+	maxRecords, _ := strconv.Atoi(q.Get("max"))
 	waitMs, _ := strconv.ParseInt(q.Get("waitMs"), 10, 64)
 	name := pathvar.Vars(r)["name"]
 	deadline := time.After(time.Duration(waitMs) * time.Millisecond)
 	for {
-		page, changed := l.page(name, from, most)
+		page, changed := l.page(name, from, maxRecords)
 		if len(page.Records) > 0 || waitMs == 0 {
 			httpd.WriteJSON(w, page)
 			return
@@ -216,17 +216,17 @@
 		case <-r.Context().Done():
 			return
 		case <-l.ctx.Done():
-			hangUp(w)
+			dropConn(w)
 			return
 		}
-		if l.out() {
-			hangUp(w)
+		if l.inOutage() {
+			dropConn(w)
 			return
 		}
 	}
 }
 
-func (l *Log) out() bool {
+func (l *Log) inOutage() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.sw.Outage
@@ -234,7 +234,7 @@
 
 // page returns records of a stream and a channel that is closed at the next
 // append.
-func (l *Log) page(name string, from int64, most int) (stream.Page, <-chan struct{}) {
+func (l *Log) page(name string, from int64, maxRecords int) (stream.Page, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.stats.Reads++
@@ -242,7 +242,7 @@
 	st.expire(l.cfg.Retention)
 	p := stream.Page{First: st.first, Next: st.first + int64(len(st.records)), Records: []stream.Record{}}
 	size := 0
-	for off := max(from, st.first); off < p.Next && len(p.Records) < most && size < maxPageBytes; off++ {
+	for off := max(from, st.first); off < p.Next && len(p.Records) < maxRecords && size < maxPageBytes; off++ {
 		data := st.records[off-st.first].data
 		size += len(data)
 		p.Records = append(p.Records, stream.Record{Offset: off, Data: data})
--- a/internal/plat/fakes/store.go
+++ b/internal/plat/fakes/store.go
@@ -14,12 +14,12 @@
 // sequence numbers of writers, expires old records on request, and can inject
 // faults.
 type Store struct {
-	mu     sync.Mutex
-	rand   *rand.Rand
-	topics map[string]*topic
-	faults StoreFaults
-	grown  chan struct{} // closed and replaced at each append
-	calls  int
+	mu       sync.Mutex
+	rand     *rand.Rand
+	topics   map[string]*topic
+	faults   StoreFaults
+	appended chan struct{} // closed and replaced at each append
+	calls    int
 }
 
 // StoreFaults holds the injected faults. The zero value means none.
@@ -35,23 +35,23 @@
 	records []ports.Record // from first on
 	first   int64
 	newest  map[string]ports.Record
-	writers map[string]*sequence
+	writers map[string]*writerState
 }
 
-// sequence is the state of one writer.
-type sequence struct {
+// writerState is the state of one writer.
+type writerState struct {
 	epoch  int64
 	next   int64           // expected sequence number
 	recent map[int64]int64 // sequence number -> offset of the last few appends
 }
 
-// keptAppends is the number of a writer's last appends for which a repeated append
+// maxRecent is the number of a writer's last appends for which a repeated append
 // returns the original offset.
-const keptAppends = 5
+const maxRecent = 5
 
 // NewStore returns an empty store.
 func NewStore(seed int64) *Store {
-	return &Store{rand: rand.New(rand.NewSource(seed)), topics: map[string]*topic{}, grown: make(chan struct{})}
+	return &Store{rand: rand.New(rand.NewSource(seed)), topics: map[string]*topic{}, appended: make(chan struct{})}
 }
 
 // SetFaults replaces the injected faults.
@@ -92,7 +92,7 @@
 func (s *Store) topic(name string) *topic {
 	t := s.topics[name]
 	if t == nil {
-		t = &topic{newest: map[string]ports.Record{}, writers: map[string]*sequence{}}
+		t = &topic{newest: map[string]ports.Record{}, writers: map[string]*writerState{}}
 		s.topics[name] = t
 	}
 	return t
@@ -109,8 +109,8 @@
 			delete(t.newest, r.Key)
 		}
 	}
-	close(s.grown)
-	s.grown = make(chan struct{})
+	close(s.appended)
+	s.appended = make(chan struct{})
 	return offset
 }
 
@@ -122,8 +122,8 @@
 
 var _ ports.Store = (*storeClient)(nil)
 
-// enter counts a call and applies the injected faults to it.
-func (c *storeClient) enter(ctx context.Context) error {
+// applyFaults counts a call and applies the injected faults to it.
+func (c *storeClient) applyFaults(ctx context.Context) error {
 	s := c.store
 	s.mu.Lock()
 	s.calls++
@@ -150,7 +150,7 @@
 
 // Append appends records; see ports.Store.
 func (c *storeClient) Append(ctx context.Context, r ports.AppendRequest) (int64, error) {
-	if err := c.enter(ctx); err != nil {
+	if err := c.applyFaults(ctx); err != nil {
 		return 0, err
 	}
 	s := c.store
@@ -172,7 +172,7 @@
 	}
 	w := t.writers[r.Writer]
 	if w == nil || r.Epoch > w.epoch {
-		w = &sequence{epoch: r.Epoch, next: r.Seq, recent: map[int64]int64{}}
+		w = &writerState{epoch: r.Epoch, next: r.Seq, recent: map[int64]int64{}}
 		t.writers[r.Writer] = w
 	}
 	if r.Epoch < w.epoch {
@@ -186,14 +186,14 @@
 	}
 	offset := s.add(t, r.Records)
 	w.recent[r.Seq] = offset
-	delete(w.recent, r.Seq-keptAppends)
+	delete(w.recent, r.Seq-maxRecent)
 	w.next++
 	return offset, nil
 }
 
 // Read returns records; see ports.Store.
 func (c *storeClient) Read(ctx context.Context, r ports.ReadRequest) (ports.Page, error) {
-	if err := c.enter(ctx); err != nil {
+	if err := c.applyFaults(ctx); err != nil {
 		return ports.Page{}, err
 	}
 	s := c.store
@@ -202,7 +202,7 @@
 	for {
 		s.mu.Lock()
 		t := s.topic(r.Topic)
-		end, grown := t.first+int64(len(t.records)), s.grown
+		end, appended := t.first+int64(len(t.records)), s.appended
 		if r.From < t.first {
 			s.mu.Unlock()
 			return ports.Page{}, &ports.GoneError{First: t.first}
@@ -217,7 +217,7 @@
 		}
 		s.mu.Unlock()
 		select {
-		case <-grown:
+		case <-appended:
 		case <-deadline.C:
 			r.Wait = 0
 		case <-ctx.Done():
@@ -228,7 +228,7 @@
 
 // Newest returns the newest record of each key; see ports.Store.
 func (c *storeClient) Newest(ctx context.Context, name, _ string) (ports.Newest, error) {
-	if err := c.enter(ctx); err != nil {
+	if err := c.applyFaults(ctx); err != nil {
 		return ports.Newest{}, err
 	}
 	s := c.store
--- a/internal/plat/fakes/worker.go
+++ b/internal/plat/fakes/worker.go
@@ -59,18 +59,18 @@
 type fakeWorker struct {
 	host hosts.Worker
 
-	mu       sync.Mutex
-	sw       WorkerSwitch
-	token    worker.Token
-	leaseEnd time.Time
-	lease    *time.Timer
-	boot     int64
-	version  uint64
-	changed  chan struct{}
-	running  map[worker.Attempt]*fakeTask
-	finished map[worker.Attempt]worker.Finished
-	runs     []*Run
-	over     int // number of starts that exceeded the capacity
+	mu          sync.Mutex
+	sw          WorkerSwitch
+	token       worker.Token
+	leaseEnd    time.Time
+	lease       *time.Timer
+	boot        int64
+	version     uint64
+	changed     chan struct{}
+	running     map[worker.Attempt]*fakeTask
+	finished    map[worker.Attempt]worker.Finished
+	runs        []*Run
+	overcommits int // number of starts that exceeded the capacity
 }
 
 type fakeTask struct {
@@ -153,7 +153,7 @@
 	n := 0
 	for _, w := range f.workers {
 		w.mu.Lock()
-		n += w.over
+		n += w.overcommits
 		w.mu.Unlock()
 	}
 	return n
@@ -179,12 +179,12 @@
 		w.boot++
 		w.token, w.leaseEnd = worker.Token{}, time.Time{}
 	}
-	w.bump()
+	w.markChanged()
 }
 
-// pausePoll is the interval at which a request to a paused worker checks whether
+// pausePollInterval is the interval at which a request to a paused worker checks whether
 // the pause has ended.
-const pausePoll = 20 * time.Millisecond
+const pausePollInterval = 20 * time.Millisecond
 
 // handler wraps h: it looks up the worker of the request and applies the faults
 // Paused and Dead.
@@ -199,11 +199,11 @@
 			select {
 			case <-r.Context().Done():
 				return
-			case <-time.After(pausePoll):
+			case <-time.After(pausePollInterval):
 			}
 		}
 		if w.dead() {
-			hangUp(rw)
+			dropConn(rw)
 			return
 		}
 		h(w, rw, r)
@@ -222,17 +222,17 @@
 	return w.sw.Dead
 }
 
-// bump increments the version and wakes the renewals that wait for a change. The
+// markChanged increments the version and wakes the renewals that wait for a change. The
 // caller holds w.mu.
-func (w *fakeWorker) bump() {
+func (w *fakeWorker) markChanged() {
 	w.version++
 	close(w.changed)
 	w.changed = make(chan struct{})
 }
 
-// accepts refuses a token with a stale epoch and stores a newer epoch. The caller
+// checkToken refuses a token with a stale epoch and stores a newer epoch. The caller
 // holds w.mu.
-func (w *fakeWorker) accepts(t worker.Token) error {
+func (w *fakeWorker) checkToken(t worker.Token) error {
 	if t.Epoch < w.token.Epoch {
 		return fault.New(fault.Conflict, fault.NotRun, "stale epoch %d, current epoch is %d", t.Epoch, w.token.Epoch)
 	}
@@ -251,7 +251,7 @@
 	lose, err := w.startTask(req)
 	switch {
 	case lose:
-		hangUp(rw)
+		dropConn(rw)
 	case err != nil:
 		httpd.WriteError(rw, err)
 	default:
@@ -264,7 +264,7 @@
 func (w *fakeWorker) startTask(req worker.StartRequest) (loseAnswer bool, err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if err := w.accepts(req.Token); err != nil {
+	if err := w.checkToken(req.Token); err != nil {
 		return false, err
 	}
 	if req.Token.Seq < w.token.Seq {
@@ -297,7 +297,7 @@
 		cpu, mem, accel = cpu+t.req.CPU, mem+t.req.Mem, accel+t.req.Accel
 	}
 	if cpu+req.CPU > w.host.CPU || mem+req.Mem > w.host.Mem || accel+req.Accel > w.host.Accel {
-		w.over++
+		w.overcommits++
 	}
 	t := &fakeTask{req: req, start: time.Now(), runMs: remaining(req)}
 	t.run = &Run{
@@ -316,11 +316,11 @@
 			defer w.mu.Unlock()
 			if w.running[req.Attempt] == t {
 				w.end(req.Attempt, end)
-				w.bump()
+				w.markChanged()
 			}
 		})
 	}
-	w.bump()
+	w.markChanged()
 }
 
 // checkpointPrefix precedes the remaining run time in a checkpoint.
@@ -399,7 +399,7 @@
 func (w *fakeWorker) extend(req worker.RenewRequest) (<-chan struct{}, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if err := w.accepts(req.Token); err != nil {
+	if err := w.checkToken(req.Token); err != nil {
 		return nil, err
 	}
 	w.token.Seq = max(w.token.Seq, req.Token.Seq)
@@ -418,11 +418,11 @@
 	if w.lease != nil {
 		w.lease.Stop()
 	}
-	w.lease = time.AfterFunc(ttl, w.lapse)
+	w.lease = time.AfterFunc(ttl, w.expireLease)
 }
 
-// lapse stops every task if the lease has expired.
-func (w *fakeWorker) lapse() {
+// expireLease stops every task if the lease has expired.
+func (w *fakeWorker) expireLease() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if time.Now().Before(w.leaseEnd) || len(w.running) == 0 {
@@ -431,7 +431,7 @@
 	for a := range w.running {
 		w.end(a, worker.EndLapsed)
 	}
-	w.bump()
+	w.markChanged()
 }
 
 // inventory returns the inventory and a channel that is closed at the next change.
@@ -453,22 +453,22 @@
 }
 
 func (w *fakeWorker) stop(rw http.ResponseWriter, r *http.Request) {
-	fenced(w, rw, r, func(req worker.StopRequest) worker.Token { return req.Token }, func(req worker.StopRequest) {
+	handleFenced(w, rw, r, func(req worker.StopRequest) worker.Token { return req.Token }, func(req worker.StopRequest) {
 		end := worker.EndStopped
 		if req.Checkpoint {
 			end = worker.EndCheckpointed
 		}
 		w.end(req.Attempt, end)
-		w.bump()
+		w.markChanged()
 	})
 }
 
 func (w *fakeWorker) throttle(rw http.ResponseWriter, r *http.Request) {
-	fenced(w, rw, r, func(req worker.ThrottleRequest) worker.Token { return req.Token }, func(worker.ThrottleRequest) {})
+	handleFenced(w, rw, r, func(req worker.ThrottleRequest) worker.Token { return req.Token }, func(worker.ThrottleRequest) {})
 }
 
-// fenced handles a request: it checks its token and calls do with w.mu held.
-func fenced[Req any](
+// handleFenced handles a request: it checks its token and calls do with w.mu held.
+func handleFenced[Req any](
 	w *fakeWorker, rw http.ResponseWriter, r *http.Request, token func(Req) worker.Token, do func(Req),
 ) {
 	req, err := httpd.ReadJSON[Req](r, maxSwitchBytes)
@@ -478,7 +478,7 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if err := w.accepts(token(req)); err != nil {
+	if err := w.checkToken(token(req)); err != nil {
 		httpd.WriteError(rw, err)
 		return
 	}
