--- a/internal/plat/fakes/farm.go
+++ b/internal/plat/fakes/farm.go
@@ -57,10 +57,10 @@
 	maxToken    int64               // highest fencing token received
 	leaseEnd    int64               // end of the lease, on the worker's clock
 	runs        map[string]*farmRun // by task
-	ended       []sched.Finished    // ends that are not acknowledged
-	n           int64               // number of the last end
+	ended       []sched.Finished    // unacknowledged finished runs
+	n           int64               // number of the last finished run
 	endedRun    map[string]int      // by task: highest run number that has ended or was stopped
-	lapsedN     int64               // n when the lease last expired; the scheduler may have rerun these tasks
+	lapsedN     int64               // n when the lease last expired; the scheduler may have rerun tasks that ended before
 	unreachable bool                // calls to the worker fail
 	down        bool                // the worker is not running
 }
@@ -142,7 +142,8 @@
 	return list
 }
 
-// Cut makes all calls to a worker fail, or ends that. The worker keeps running.
+// Cut makes all calls to a worker fail (on) or succeed again (!on). The worker
+// keeps running.
 func (f *Farm) Cut(id string, on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -312,8 +313,8 @@
 	}
 }
 
-// checkStart checks a start against the capacity of the worker, the quota of the team
-// and the other runs of the task, and records violations.
+// checkStart checks a start against the capacity of the worker, the quota of the
+// team and the other runs of the task, and records violations.
 func (f *Farm) checkStart(w *farmWorker, o ports.StartOrder, spec sched.Spec, step sched.Step) {
 	used := step.Size
 	for _, r := range w.runs {
@@ -342,7 +343,8 @@
 	f.checkDependencies(o, spec, step)
 }
 
-// checkDependencies checks that all tasks of the steps that this one depends on are done.
+// checkDependencies checks that all tasks of the steps that this one depends on
+// are done.
 func (f *Farm) checkDependencies(o ports.StartOrder, spec sched.Spec, step sched.Step) {
 	ref, _ := sched.ParseRef(o.Task)
 	for _, d := range step.After {
@@ -506,7 +508,7 @@
 	return h, nil
 }
 
-// forget drops the acknowledged ends, whose numbers are at most seen.
+// forget drops the acknowledged finished runs, which have numbers up to seen.
 func (f *Farm) forget(w *farmWorker, seen int64) {
 	rest := w.ended[:0]
 	for _, e := range w.ended {
--- a/internal/plat/fakes/worker.go
+++ b/internal/plat/fakes/worker.go
@@ -182,8 +182,8 @@
 	w.markChanged()
 }
 
-// pausePollInterval is the interval at which a request to a paused worker checks whether
-// the pause has ended.
+// pausePollInterval is the interval at which a request to a paused worker checks
+// whether the pause has ended.
 const pausePollInterval = 20 * time.Millisecond
 
 // handler wraps h: it looks up the worker of the request and applies the faults
@@ -222,8 +222,8 @@
 	return w.sw.Dead
 }
 
-// markChanged increments the version and wakes the renewals that wait for a change. The
-// caller holds w.mu.
+// markChanged increments the version and wakes the renewals that wait for a
+// change. The caller holds w.mu.
 func (w *fakeWorker) markChanged() {
 	w.version++
 	close(w.changed)
--- a/internal/plat/worker/worker.go
+++ b/internal/plat/worker/worker.go
@@ -86,7 +86,7 @@
 // End is the way an attempt ended on a worker.
 type End string
 
-// Ends that a worker reports.
+// End values.
 const (
 	EndOK           End = "ok"
 	EndFailed       End = "failed"       // the task itself failed
