--- a/internal/plat/ports/ports.go
+++ b/internal/plat/ports/ports.go
@@ -92,7 +92,7 @@
 // Newest is a page of a listing that has the newest record of each key.
 type Newest struct {
 	Records []Record
-	End     int64  // end of the topic when the page was read; Read continues there
+	End     int64  // end of the topic when the page was read; see ReadNewest
 	More    string // last key of the page, to pass to the next call; empty on the last page
 }
 
