--- a/internal/plat/fakes/farm.go
+++ b/internal/plat/fakes/farm.go
@@ -14,54 +14,55 @@
 	"lagooncourse/internal/plat/ports"
 )
 
-// Farm stands in for the workers of the platform. It has no clock of its own:
-// the instant comes with each call, so that pure tests can play hours in
-// milliseconds. It records each broken promise.
+// Farm fakes the workers of the platform without network or timers. The caller
+// passes the current time to each call, so that tests can simulate hours in
+// milliseconds. Farm checks each start and records violations of the scheduler's
+// guarantees.
 type Farm struct {
-	mu      sync.Mutex
-	rand    *rand.Rand
-	workers map[string]*farmWorker
-	ids     []string // of the workers, in order
-	specs   map[string]sched.Spec
-	limits  map[string]jobs.Size
-	faults  FarmFaults
-	late    []lateOrder
-	broken  []string
-	acked   map[string]bool // tasks whose successful end has been taken note of
-	done    map[string]bool // tasks that have ended well
-	starts  int
-}
-
-// FarmFaults are the troubles in force. Shares lie between 0 and 1.
+	mu         sync.Mutex
+	rand       *rand.Rand
+	workers    map[string]*farmWorker
+	ids        []string // worker IDs in a fixed order
+	specs      map[string]sched.Spec
+	limits     map[string]jobs.Size
+	faults     FarmFaults
+	late       []lateOrder
+	violations []string
+	acked      map[string]bool // tasks whose successful end the scheduler has acknowledged
+	done       map[string]bool // tasks that have ended successfully
+	starts     int
+}
+
+// FarmFaults holds the injected faults, as probabilities between 0 and 1.
 type FarmFaults struct {
-	Lost float64 // orders that are carried out and not answered
-	Late float64 // orders that are not answered and carried out seconds later
-	Fail float64 // runs that fail
+	Lost float64 // an order is carried out but not answered
+	Late float64 // an order is not answered and carried out seconds later
+	Fail float64 // a run fails
 }
 
-// FarmConfig describes a Farm.
+// FarmConfig is the configuration of a Farm.
 type FarmConfig struct {
 	Workers  int
 	Capacity jobs.Size
-	Rack     int // workers in a rack
+	Rack     int // workers per rack
 	Azs      []string
 	Service  string
 	Seed     int64
 }
 
-// farmWorker is one worker. Its clock runs 2% slow.
+// farmWorker is one worker.
 type farmWorker struct {
-	info   sched.WorkerInfo
-	bootMs int64
-	fence  int64
-	lease  int64 // end, on its clock
-	runs   map[string]*farmRun
-	ended  []sched.Finished
-	n      int64
-	floor  map[string]int // run numbers up to which starts of a task are refused
-	lapsed int64          // highest end that was listed when a lease ran out
-	cut    bool           // no call reaches it
-	down   bool           // it does not run
+	info        sched.WorkerInfo
+	bootMs      int64
+	maxToken    int64               // highest fencing token received
+	leaseEnd    int64               // end of the lease, on the worker's clock
+	runs        map[string]*farmRun // by task
+	ended       []sched.Finished    // unacknowledged finished runs
+	n           int64               // number of the last finished run
+	endedRun    map[string]int      // by task: highest run number that has ended or was stopped
+	lapsedN     int64               // n when the lease last expired; the scheduler may have rerun tasks that ended before
+	unreachable bool                // calls to the worker fail
+	down        bool                // the worker is not running
 }
 
 type farmRun struct {
@@ -71,24 +72,25 @@
 	startMs int64
 	runMs   int64
 	fails   bool
-	gang    string // step and run that the members share; empty for a single task
-	members int
+	gang    string // gang ID: step and run number; empty if the task is in no gang
+	members int    // size of the gang
 }
 
+// lateOrder is an order, either a start or a stop, that is carried out at atMs.
 type lateOrder struct {
 	atMs  int64
 	start *ports.StartOrder
 	stop  *ports.StopOrder
 }
 
-// Spans of late orders, by the platform's pages.
+// Delays and timeouts of the platform, as it specifies them.
 const (
-	lateLeastMs = 2_000
-	lateMostMs  = 12_000
-	gangMs      = 3_000 // a member waits so long for the others
+	minLateMs     = 2_000  // minimum delay of a late order
+	maxLateMs     = 12_000 // maximum delay of a late order
+	gangTimeoutMs = 3_000  // time that a gang member waits for the other members
 )
 
-// NewFarm returns workers that run nothing.
+// NewFarm returns a farm of idle workers.
 func NewFarm(cfg FarmConfig) *Farm {
 	f := &Farm{
 		rand: rand.New(rand.NewSource(cfg.Seed)), workers: map[string]*farmWorker{}, specs: map[string]sched.Spec{},
@@ -102,31 +104,31 @@
 				ID: id, Addr: id, Service: cfg.Service, Az: cfg.Azs[i%len(cfg.Azs)], Rack: rack, Labels: []string{"a", rack},
 				Capacity: cfg.Capacity, Born: 1,
 			},
-			runs: map[string]*farmRun{}, floor: map[string]int{},
+			runs: map[string]*farmRun{}, endedRun: map[string]int{},
 		}
 		f.ids = append(f.ids, id)
 	}
 	return f
 }
 
-// SetFaults replaces the troubles in force.
+// SetFaults replaces the injected faults.
 func (f *Farm) SetFaults(faults FarmFaults) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.faults = faults
 }
 
-// Know tells the farm what a job asks for, so that it can judge its starts.
+// Know registers a job. The farm needs its spec to run and check its tasks.
 func (f *Farm) Know(spec sched.Spec) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.specs[spec.ID] = spec
 }
 
-// SetLimit tells the farm a team's limit.
+// SetLimit sets the quota of a team, which the farm checks at each start.
 func (f *Farm) SetLimit(team string, limit jobs.Size) { f.limits[team] = limit }
 
-// Entries returns the registry entries of the workers that run.
+// Entries returns the registry entries of the running workers.
 func (f *Farm) Entries() []sched.WorkerInfo {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -140,21 +142,22 @@
 	return list
 }
 
-// Cut stops or restores all calls to a worker, which runs on.
+// Cut makes all calls to a worker fail (on) or succeed again (!on). The worker
+// keeps running.
 func (f *Farm) Cut(id string, on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.workers[id].cut = on
+	f.workers[id].unreachable = on
 }
 
-// Reboot ends all that runs on a worker, which forgets everything and starts
-// anew under its id.
+// Reboot restarts a worker: all its runs end, its state is lost, and a new
+// incarnation starts with the same ID.
 func (f *Farm) Reboot(id string, nowMs int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	w := f.workers[id]
 	w.info.Born++
-	w.bootMs, w.fence, w.lease, w.n, w.lapsed = nowMs, 0, 0, 0, 0
+	w.bootMs, w.maxToken, w.leaseEnd, w.n, w.lapsedN = nowMs, 0, 0, 0, 0
 	for _, task := range slices.Sorted(maps.Keys(w.runs)) {
 		r := w.runs[task]
 		if r == nil {
@@ -162,35 +165,35 @@
 		}
 		delete(w.runs, task)
 		if r.gang != "" {
-			f.together(r.gang, sched.EndLost)
+			f.finishGang(r.gang, sched.EndLost)
 		}
 	}
-	w.runs, w.ended, w.floor = map[string]*farmRun{}, nil, map[string]int{}
+	w.runs, w.ended, w.endedRun = map[string]*farmRun{}, nil, map[string]int{}
 	rest := f.late[:0]
 	for _, o := range f.late {
 		if o.start != nil && o.start.Peer.ID == id || o.stop != nil && o.stop.Peer.ID == id {
-			continue // the connection has ended with the process
+			continue // the connection was closed when the process ended
 		}
 		rest = append(rest, o)
 	}
 	f.late = rest
 }
 
-// Broken returns the promises that were broken.
+// Broken describes the violations found so far.
 func (f *Farm) Broken() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return append([]string(nil), f.broken...)
+	return append([]string(nil), f.violations...)
 }
 
-// Starts returns how many runs were started.
+// Starts returns the number of runs started so far.
 func (f *Farm) Starts() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.starts
 }
 
-// Running returns how many runs are under way.
+// Running returns the number of active runs.
 func (f *Farm) Running() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -201,11 +204,12 @@
 	return n
 }
 
-// clock returns the worker's clock: 2% slow, from its boot.
+// clock returns the time of the worker's clock, which runs 2% slow and restarts
+// at 1000 at each boot.
 func (w *farmWorker) clock(nowMs int64) int64 { return (nowMs-w.bootMs)*98/100 + 1000 }
 
-// Advance ends what has run its time or outlived its lease, and carries out
-// late orders.
+// Advance carries out late orders that are due and ends the runs that have
+// completed or whose lease has expired.
 func (f *Farm) Advance(nowMs int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -219,7 +223,7 @@
 		case o.atMs > nowMs:
 			rest = append(rest, o)
 		case o.start != nil:
-			_ = f.start(*o.start, nowMs) // a late order has nobody to answer to
+			_ = f.start(*o.start, nowMs) // the caller of a late order gets no answer
 		default:
 			_ = f.stop(*o.stop, nowMs)
 		}
@@ -228,13 +232,13 @@
 	gangs := f.gangs()
 	for _, id := range f.ids {
 		w := f.workers[id]
-		if w.clock(nowMs) >= w.lease {
-			w.lapsed = w.n
+		if w.clock(nowMs) >= w.leaseEnd {
+			w.lapsedN = w.n
 		}
 		for _, task := range slices.Sorted(maps.Keys(w.runs)) {
 			r := w.runs[task]
 			if r == nil {
-				continue // it has ended with another member of its gang
+				continue // already ended with another member of its gang
 			}
 			from := r.startMs
 			if r.gang != "" {
@@ -245,9 +249,9 @@
 				}
 			}
 			switch {
-			case w.clock(nowMs) >= w.lease:
+			case w.clock(nowMs) >= w.leaseEnd:
 				f.finish(w, task, r, sched.EndLapsed)
-			case r.gang != "" && gangs[r.gang].n < r.members && nowMs-r.startMs > gangMs:
+			case r.gang != "" && gangs[r.gang].n < r.members && nowMs-r.startMs > gangTimeoutMs:
 				f.finish(w, task, r, sched.EndAlone)
 			case nowMs >= from+r.runMs && r.fails:
 				f.finish(w, task, r, sched.EndFailed)
@@ -258,12 +262,13 @@
 	}
 }
 
-// gang is how many members of a gang are present, and since when the last is.
+// gang counts the members of a gang that are running.
 type gang struct {
 	n       int
-	sinceMs int64
+	sinceMs int64 // start time of the latest member
 }
 
+// gangs returns the state of all gangs by ID.
 func (f *Farm) gangs() map[string]gang {
 	all := map[string]gang{}
 	for _, w := range f.workers {
@@ -277,8 +282,9 @@
 	return all
 }
 
-// together ends the other members of a gang with one: as done, or broken.
-func (f *Farm) together(name string, how sched.How) {
+// finishGang ends the remaining members of a gang after one has ended: as done if
+// that one was done, otherwise as broken.
+func (f *Farm) finishGang(name string, how sched.How) {
 	if how != sched.EndDone {
 		how = sched.EndBroken
 	}
@@ -293,36 +299,38 @@
 	}
 }
 
+// finish ends a run and the other members of its gang.
 func (f *Farm) finish(w *farmWorker, task string, r *farmRun, how sched.How) {
 	delete(w.runs, task)
 	w.n++
 	w.ended = append(w.ended, sched.Finished{N: w.n, Task: task, Run: r.run, How: how})
-	w.floor[task] = max(w.floor[task], r.run)
+	w.endedRun[task] = max(w.endedRun[task], r.run)
 	if how == sched.EndDone {
 		f.done[task] = true
 	}
 	if r.gang != "" {
-		f.together(r.gang, how)
+		f.finishGang(r.gang, how)
 	}
 }
 
-// judge records what a start breaks.
-func (f *Farm) judge(w *farmWorker, o ports.StartOrder, spec sched.Spec, step sched.Step) {
+// checkStart checks a start against the capacity of the worker, the quota of the
+// team and the other runs of the task, and records violations.
+func (f *Farm) checkStart(w *farmWorker, o ports.StartOrder, spec sched.Spec, step sched.Step) {
 	used := step.Size
 	for _, r := range w.runs {
 		used = used.Plus(r.size)
 	}
 	if !used.Fits(w.info.Capacity) {
-		f.breaks("limit: %s starts on %s, which would hold %s", o.Task, o.Peer.ID, used)
+		f.addViolation("capacity: %s starts on %s, which would then use %s", o.Task, o.Peer.ID, used)
 	}
 	if f.acked[o.Task] {
-		f.breaks("twice: %s starts after its end was taken note of", o.Task)
+		f.addViolation("duplicate: %s starts after its successful end was acknowledged", o.Task)
 	}
 	team := step.Size
 	for _, other := range f.workers {
 		for task, r := range other.runs {
 			if task == o.Task && !step.Copies {
-				f.breaks("twice: %s run %d starts on %s while run %d is on %s", task, o.Run, o.Peer.ID, r.run, other.info.ID)
+				f.addViolation("duplicate: %s run %d starts on %s while run %d is on %s", task, o.Run, o.Peer.ID, r.run, other.info.ID)
 			}
 			if r.team == spec.Team {
 				team = team.Plus(r.size)
@@ -330,42 +338,44 @@
 		}
 	}
 	if limit, ok := f.limits[spec.Team]; ok && !team.Fits(limit) {
-		f.breaks("quota: team %s would run %s", spec.Team, team)
+		f.addViolation("quota: team %s would use %s", spec.Team, team)
 	}
-	f.judgeOrder(o, spec, step)
+	f.checkDependencies(o, spec, step)
 }
 
-// judgeOrder checks that the steps before are done.
-func (f *Farm) judgeOrder(o ports.StartOrder, spec sched.Spec, step sched.Step) {
+// checkDependencies checks that all tasks of the steps that this one depends on
+// are done.
+func (f *Farm) checkDependencies(o ports.StartOrder, spec sched.Spec, step sched.Step) {
 	ref, _ := sched.ParseRef(o.Task)
 	for _, d := range step.After {
 		for i := range spec.Steps[d].Count {
 			if before := (sched.Ref{Job: ref.Job, Occ: ref.Occ, Step: d, Index: i}).String(); !f.done[before] {
-				f.breaks("order: %s starts before %s is done", o.Task, before)
+				f.addViolation("dependency: %s starts before %s is done", o.Task, before)
 			}
 		}
 	}
 }
 
-func (f *Farm) breaks(format string, args ...any) {
-	f.broken = append(f.broken, fmt.Sprintf(format, args...))
+// addViolation records a violation of a guarantee.
+func (f *Farm) addViolation(format string, args ...any) {
+	f.violations = append(f.violations, fmt.Sprintf(format, args...))
 }
 
 func refused(r ports.Refusal) error { return &ports.RefusedError{Reason: r, Status: 409} }
 
-// guard applies the fence.
-func (w *farmWorker) guard(token int64) error {
-	if token < w.fence {
+// checkToken refuses a stale fencing token and stores a new one.
+func (w *farmWorker) checkToken(token int64) error {
+	if token < w.maxToken {
 		return refused(ports.RefusedFence)
 	}
-	w.fence = token
+	w.maxToken = token
 	return nil
 }
 
-// start carries out an order. The caller holds the lock.
+// start carries out a start order. The caller holds f.mu.
 func (f *Farm) start(o ports.StartOrder, nowMs int64) error {
 	w := f.workers[o.Peer.ID]
-	if err := w.guard(o.Token); err != nil {
+	if err := w.checkToken(o.Token); err != nil {
 		return err
 	}
 	if o.LeaseEnd <= w.clock(nowMs) {
@@ -375,13 +385,13 @@
 	if r := w.runs[o.Task]; r != nil && r.run == o.Run {
 		return nil
 	}
-	if o.Run <= w.floor[o.Task] {
+	if o.Run <= w.endedRun[o.Task] {
 		return refused(ports.RefusedOld)
 	}
 	ref, _ := sched.ParseRef(o.Task)
 	spec := f.specs[ref.Job]
 	step := spec.Steps[ref.Step]
-	f.judge(w, o, spec, step)
+	f.checkStart(w, o, spec, step)
 	f.starts++
 	r := &farmRun{
 		run: o.Run, size: step.Size, team: spec.Team, startMs: nowMs, runMs: step.EstimateMs, fails: f.rand.Float64() < f.faults.Fail,
@@ -393,98 +403,99 @@
 	return nil
 }
 
-// stop carries out an order. The caller holds the lock.
+// stop carries out a stop order. The caller holds f.mu.
 func (f *Farm) stop(o ports.StopOrder, nowMs int64) error {
 	w := f.workers[o.Peer.ID]
-	if err := w.guard(o.Token); err != nil {
+	if err := w.checkToken(o.Token); err != nil {
 		return err
 	}
 	if r := w.runs[o.Task]; r != nil && r.run <= o.Run {
 		f.finish(w, o.Task, r, sched.EndStopped)
 	}
-	w.floor[o.Task] = max(w.floor[o.Task], o.Run)
+	w.endedRun[o.Task] = max(w.endedRun[o.Task], o.Run)
 	return nil
 }
 
-// HoldMaxMs is the longest lease that a worker of the farm grants.
+// HoldMaxMs is the maximum lease duration that a worker of a Farm grants.
 const HoldMaxMs = 10_000
 
-// renew takes a lease, shortened to the longest that is granted.
+// renew extends the lease to end, limited to HoldMaxMs from now.
 func (w *farmWorker) renew(end, nowMs int64) {
-	w.lease = max(w.lease, min(end, w.clock(nowMs)+HoldMaxMs))
+	w.leaseEnd = max(w.leaseEnd, min(end, w.clock(nowMs)+HoldMaxMs))
 }
 
-// fate draws what becomes of an order: -1 is lost on the way back, 0 is
-// answered, and more is the delay of a late one.
-func (f *Farm) fate() int64 {
+// drawFault draws the fault of an order: 0 means none, -1 means that the answer is
+// lost, and a positive number is the delay of a late order in milliseconds.
+func (f *Farm) drawFault() int64 {
 	x := f.rand.Float64()
 	switch {
 	case x < f.faults.Late:
-		return lateLeastMs + f.rand.Int63n(lateMostMs-lateLeastMs)
+		return minLateMs + f.rand.Int63n(maxLateMs-minLateMs)
 	case x < f.faults.Late+f.faults.Lost:
 		return -1
 	}
 	return 0
 }
 
-// reach returns the worker if calls for that incarnation reach it.
-func (f *Farm) reach(p ports.Peer) (*farmWorker, error) {
+// reachable returns the worker, or errNoAnswer if it is unreachable.
+func (f *Farm) reachable(p ports.Peer) (*farmWorker, error) {
 	w := f.workers[p.ID]
-	if w == nil || w.cut || w.down {
+	if w == nil || w.unreachable || w.down {
 		return nil, errNoAnswer
 	}
 	return w, nil
 }
 
-// StartAt is a start that arrives at the instant nowMs.
+// StartAt handles a start order at time nowMs and returns the time of the
+// worker's clock.
 func (f *Farm) StartAt(o ports.StartOrder, nowMs int64) (clock int64, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.advance(nowMs)
-	w, err := f.reach(o.Peer)
+	w, err := f.reachable(o.Peer)
 	if err != nil {
 		return 0, err
 	}
-	switch d := f.fate(); {
+	switch d := f.drawFault(); {
 	case d > 0:
 		f.late = append(f.late, lateOrder{atMs: nowMs + d, start: &o})
 		return 0, errNoAnswer
 	case d < 0:
-		_ = f.start(o, nowMs) // carried out, and the answer is lost
+		_ = f.start(o, nowMs) // carried out; only the answer is lost
 		return 0, errNoAnswer
 	}
 	return w.clock(nowMs), f.start(o, nowMs)
 }
 
-// StopAt is a stop that arrives at the instant nowMs.
+// StopAt handles a stop order at time nowMs.
 func (f *Farm) StopAt(o ports.StopOrder, nowMs int64) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.advance(nowMs)
-	if _, err := f.reach(o.Peer); err != nil {
+	if _, err := f.reachable(o.Peer); err != nil {
 		return err
 	}
-	switch d := f.fate(); {
+	switch d := f.drawFault(); {
 	case d > 0:
 		f.late = append(f.late, lateOrder{atMs: nowMs + d, stop: &o})
 		return errNoAnswer
 	case d < 0:
-		_ = f.stop(o, nowMs) // carried out, and the answer is lost
+		_ = f.stop(o, nowMs) // carried out; only the answer is lost
 		return errNoAnswer
 	}
 	return f.stop(o, nowMs)
 }
 
-// HoldAt is a renewal that arrives at the instant nowMs.
+// HoldAt handles a lease renewal at time nowMs.
 func (f *Farm) HoldAt(r ports.HoldRequest, nowMs int64) (ports.HoldAnswer, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.advance(nowMs)
-	w, err := f.reach(r.Peer)
+	w, err := f.reachable(r.Peer)
 	if err != nil {
 		return ports.HoldAnswer{}, err
 	}
-	if err := w.guard(r.Token); err != nil {
+	if err := w.checkToken(r.Token); err != nil {
 		return ports.HoldAnswer{}, err
 	}
 	w.renew(r.LeaseEnd, nowMs)
@@ -497,7 +508,7 @@
 	return h, nil
 }
 
-// forget drops the ends that were taken note of.
+// forget drops the acknowledged finished runs, which have numbers up to seen.
 func (f *Farm) forget(w *farmWorker, seen int64) {
 	rest := w.ended[:0]
 	for _, e := range w.ended {
@@ -505,12 +516,12 @@
 			rest = append(rest, e)
 			continue
 		}
-		if e.How == sched.EndDone && e.N > w.lapsed {
+		if e.How == sched.EndDone && e.N > w.lapsedN {
 			f.acked[e.Task] = true
 		}
 	}
 	w.ended = rest
 }
 
-// errNoAnswer is the end of a call to which nobody answers.
+// errNoAnswer is the error of a call that gets no answer.
 var errNoAnswer = fault.New(fault.Timeout, fault.Unknown, "no answer")
--- a/internal/plat/fakes/store.go
+++ b/internal/plat/fakes/store.go
@@ -10,65 +10,66 @@
 	"lagooncourse/internal/plat/ports"
 )
 
-// Store stands in for the platform's log with keyed topics. It keeps epochs
-// and sequences of writers, forgets old records on request, and can be down,
-// lose answers, or turn single callers away.
+// Store fakes the platform's log with keyed topics. It checks the epochs and
+// sequence numbers of writers, expires old records on request, and can inject
+// faults.
 type Store struct {
-	mu     sync.Mutex
-	rand   *rand.Rand
-	topics map[string]*topic
-	faults StoreFaults
-	grown  chan struct{} // closed and replaced at each append
-	calls  int
+	mu       sync.Mutex
+	rand     *rand.Rand
+	topics   map[string]*topic
+	faults   StoreFaults
+	appended chan struct{} // closed and replaced at each append
+	calls    int
 }
 
-// StoreFaults are the troubles in force. Zero means none.
+// StoreFaults holds the injected faults. The zero value means none.
 type StoreFaults struct {
-	Down   bool            // every call is refused
-	Away   map[string]bool // callers that are turned away
-	Lost   float64         // share of the appends that are done and not answered
-	Delay  time.Duration   // before each answer
-	Silent bool            // with Down or Away: no answer instead of a refusal
+	Down   bool            // refuses every call
+	Away   map[string]bool // callers whose calls are refused
+	Lost   float64         // probability that an append takes effect but is not answered
+	Delay  time.Duration   // delay of each call
+	Silent bool            // with Down or Away: calls get no answer instead of a refusal
 }
 
 type topic struct {
 	records []ports.Record // from first on
 	first   int64
 	newest  map[string]ports.Record
-	writers map[string]*sequence
+	writers map[string]*writerState
 }
 
-// sequence is what the store remembers of one writer.
-type sequence struct {
+// writerState is the state of one writer.
+type writerState struct {
 	epoch  int64
-	next   int64
+	next   int64           // expected sequence number
 	recent map[int64]int64 // sequence number -> offset of the last few appends
 }
 
-// keptAppends is how many appends of a writer can be repeated.
-const keptAppends = 5
+// maxRecent is the number of a writer's last appends for which a repeated append
+// returns the original offset.
+const maxRecent = 5
 
 // NewStore returns an empty store.
 func NewStore(seed int64) *Store {
-	return &Store{rand: rand.New(rand.NewSource(seed)), topics: map[string]*topic{}, grown: make(chan struct{})}
+	return &Store{rand: rand.New(rand.NewSource(seed)), topics: map[string]*topic{}, appended: make(chan struct{})}
 }
 
-// SetFaults replaces the troubles in force.
+// SetFaults replaces the injected faults.
 func (s *Store) SetFaults(f StoreFaults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 }
 
-// Calls returns how many calls have come.
+// Calls returns the number of calls so far.
 func (s *Store) Calls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
-// Forget drops the records of a topic before its end; the newest of each key
-// stays readable.
+// Forget expires all records of a topic. Newest still returns the newest record
+// of each key.
 func (s *Store) Forget(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -77,27 +78,27 @@
 	t.records = nil
 }
 
-// Put writes a record as the operators or a worker would.
+// Put appends a record without a writer, as the operators and workers do.
 func (s *Store) Put(name, key string, value []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.add(s.topic(name), []ports.Record{{Key: key, Value: value}})
 }
 
-// For returns the store as one caller reaches it.
+// For returns a client of the store for the named caller.
 func (s *Store) For(caller string) ports.Store { return &storeClient{store: s, caller: caller} }
 
-// topic returns a topic. The caller holds the lock.
+// topic returns the named topic and creates it if needed. The caller holds s.mu.
 func (s *Store) topic(name string) *topic {
 	t := s.topics[name]
 	if t == nil {
-		t = &topic{newest: map[string]ports.Record{}, writers: map[string]*sequence{}}
+		t = &topic{newest: map[string]ports.Record{}, writers: map[string]*writerState{}}
 		s.topics[name] = t
 	}
 	return t
 }
 
-// add appends records. The caller holds the lock.
+// add appends records and returns the offset of the first. The caller holds s.mu.
 func (s *Store) add(t *topic, records []ports.Record) int64 {
 	offset := t.first + int64(len(t.records))
 	for i, r := range records {
@@ -108,11 +109,12 @@
 			delete(t.newest, r.Key)
 		}
 	}
-	close(s.grown)
-	s.grown = make(chan struct{})
+	close(s.appended)
+	s.appended = make(chan struct{})
 	return offset
 }
 
+// storeClient is the store as used by one caller.
 type storeClient struct {
 	store  *Store
 	caller string
@@ -120,8 +122,8 @@
 
 var _ ports.Store = (*storeClient)(nil)
 
-// enter applies the troubles to a call.
-func (c *storeClient) enter(ctx context.Context) error {
+// applyFaults counts a call and applies the injected faults to it.
+func (c *storeClient) applyFaults(ctx context.Context) error {
 	s := c.store
 	s.mu.Lock()
 	s.calls++
@@ -132,7 +134,7 @@
 		defer t.Stop()
 		select {
 		case <-ctx.Done():
-			return fault.New(fault.Timeout, fault.NotRun, "store is slow")
+			return fault.New(fault.Timeout, fault.NotRun, "deadline exceeded before the delayed store answered")
 		case <-t.C:
 		}
 	}
@@ -141,14 +143,14 @@
 	}
 	if f.Silent {
 		<-ctx.Done()
-		return fault.New(fault.Timeout, fault.NotRun, "store is silent")
+		return fault.New(fault.Timeout, fault.NotRun, "store does not answer")
 	}
 	return &ports.RefusedError{Reason: ports.RefusedBusy, Status: 503}
 }
 
-// Append adds records; see ports.Store.
+// Append appends records; see ports.Store.
 func (c *storeClient) Append(ctx context.Context, r ports.AppendRequest) (int64, error) {
-	if err := c.enter(ctx); err != nil {
+	if err := c.applyFaults(ctx); err != nil {
 		return 0, err
 	}
 	s := c.store
@@ -156,11 +158,13 @@
 	defer s.mu.Unlock()
 	offset, err := s.append(r)
 	if err == nil && s.rand.Float64() < s.faults.Lost {
-		return 0, fault.New(fault.Timeout, fault.Unknown, "the answer is lost")
+		return 0, fault.New(fault.Timeout, fault.Unknown, "answer lost")
 	}
 	return offset, err
 }
 
+// append checks the epoch and sequence number of the writer, if any, and appends
+// the records. The caller holds s.mu.
 func (s *Store) append(r ports.AppendRequest) (int64, error) {
 	t := s.topic(r.Topic)
 	if r.Writer == "" {
@@ -168,7 +172,7 @@
 	}
 	w := t.writers[r.Writer]
 	if w == nil || r.Epoch > w.epoch {
-		w = &sequence{epoch: r.Epoch, next: r.Seq, recent: map[int64]int64{}}
+		w = &writerState{epoch: r.Epoch, next: r.Seq, recent: map[int64]int64{}}
 		t.writers[r.Writer] = w
 	}
 	if r.Epoch < w.epoch {
@@ -182,14 +186,14 @@
 	}
 	offset := s.add(t, r.Records)
 	w.recent[r.Seq] = offset
-	delete(w.recent, r.Seq-keptAppends)
+	delete(w.recent, r.Seq-maxRecent)
 	w.next++
 	return offset, nil
 }
 
 // Read returns records; see ports.Store.
 func (c *storeClient) Read(ctx context.Context, r ports.ReadRequest) (ports.Page, error) {
-	if err := c.enter(ctx); err != nil {
+	if err := c.applyFaults(ctx); err != nil {
 		return ports.Page{}, err
 	}
 	s := c.store
@@ -198,7 +202,7 @@
 	for {
 		s.mu.Lock()
 		t := s.topic(r.Topic)
-		end, grown := t.first+int64(len(t.records)), s.grown
+		end, appended := t.first+int64(len(t.records)), s.appended
 		if r.From < t.first {
 			s.mu.Unlock()
 			return ports.Page{}, &ports.GoneError{First: t.first}
@@ -213,18 +217,18 @@
 		}
 		s.mu.Unlock()
 		select {
-		case <-grown:
+		case <-appended:
 		case <-deadline.C:
 			r.Wait = 0
 		case <-ctx.Done():
-			return ports.Page{}, fault.New(fault.Timeout, fault.NotRun, "read ended")
+			return ports.Page{}, fault.New(fault.Timeout, fault.NotRun, "deadline exceeded while waiting for a record")
 		}
 	}
 }
 
 // Newest returns the newest record of each key; see ports.Store.
 func (c *storeClient) Newest(ctx context.Context, name, _ string) (ports.Newest, error) {
-	if err := c.enter(ctx); err != nil {
+	if err := c.applyFaults(ctx); err != nil {
 		return ports.Newest{}, err
 	}
 	s := c.store
--- a/internal/plat/stream/replay_test.go
+++ b/internal/plat/stream/replay_test.go
@@ -14,7 +14,7 @@
 
 func TestMain(m *testing.M) { os.Exit(seeds.Run(m)) }
 
-// history is a machine that remembers every record.
+// history is a machine whose state is the list of all applied records.
 type history struct{ Records []string }
 
 func (h *history) Apply(_ int64, data []byte) { h.Records = append(h.Records, string(data)) }
@@ -25,13 +25,13 @@
 	return err
 }
 
-// tape is a stream with writers that may append late snapshots.
-type tape struct {
+// memStream is an in-memory stream.
+type memStream struct {
 	data    [][]byte
-	records []string // what a reader of everything has applied
+	records []string // records that a reader of the whole stream has applied
 }
 
-func (tp *tape) page(from, first int64, most int) Page {
+func (tp *memStream) page(from, first int64, most int) Page {
 	p := Page{First: first, Next: int64(len(tp.data))}
 	for off := max(from, first); off < p.Next && len(p.Records) < most; off++ {
 		p.Records = append(p.Records, Record{Offset: off, Data: tp.data[off]})
@@ -39,12 +39,13 @@
 	return p
 }
 
-// TestAgainstNaive writes records and snapshots, some of them composed long
-// before they land, and drops the beginning. A fresh reader that calls itself
-// ready holds what a reader of everything holds.
+// TestAgainstNaive writes records, corrupt records and snapshots, some of them
+// appended long after they were encoded, and truncates the start of the stream.
+// A new reader that reports Ready must have the state of a reader of the whole
+// stream.
 func TestAgainstNaive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var tp tape
+		var tp memStream
 		writer := &Replay{Machine: &history{}}
 		var late [][]byte
 		for i := range rapid.IntRange(1, 60).Draw(t, "n") {
@@ -74,8 +75,8 @@
 	})
 }
 
-// readFresh reads the rest of a truncated stream in small pages.
-func readFresh(t *rapid.T, tp *tape) {
+// readFresh reads a truncated stream in small pages with a new reader.
+func readFresh(t *rapid.T, tp *memStream) {
 	first := rapid.Int64Range(0, int64(len(tp.data))).Draw(t, "first")
 	m := &history{}
 	r := &Replay{Machine: m}
@@ -92,9 +93,9 @@
 	}
 }
 
-// TestOvertaken checks that a reader that retention has overtaken drops its
-// state and starts again from the next snapshot.
-func TestOvertaken(t *testing.T) {
+// TestExpiredRecords checks that a reader whose next records have expired discards
+// its state and rebuilds it from the next snapshot.
+func TestExpiredRecords(t *testing.T) {
 	m := &history{}
 	r := &Replay{Machine: m}
 	rec := func(s string) []byte {
