--- a/internal/cell/books/books.go
+++ b/internal/cell/books/books.go
@@ -5,8 +5,8 @@
 // allocated until the worker reports that the attempt has ended or is absent, or
 // until the worker's lease has expired. Until then an attempt with an unknown
 // state counts as running. Reservations never allocate more than a worker's
-// capacity, so the worker is not overcommitted whatever the state of those
-// attempts turns out to be.
+// capacity, so the worker is not overcommitted even if all attempts with an
+// unknown state run.
 //
 // The allocations are held in memory only. After a takeover the new owner of the
 // group first raises the fencing token of each worker, then rebuilds the
@@ -42,17 +42,18 @@
 	ID      string
 	Rack    string
 	Cap     jobs.Size // capacity
-	Leaving bool      // draining: takes no new attempts
+	Leaving bool      // takes no new attempts
 }
 
-// phase is the phase of an allocation.
+// phase is the progress of an allocation, from the reservation to the end of its
+// attempt.
 type phase uint8
 
 const (
 	reserved phase = iota // no start request has been sent
 	sending               // the start request may have been sent and is not confirmed
 	running               // the worker has confirmed that the attempt runs
-	ended                 // the attempt has ended; kept until the worker drops it
+	ended                 // the attempt has ended; kept until the worker stops reporting it
 )
 
 // allocation is the capacity of one worker that is allocated to one attempt.
@@ -65,7 +66,7 @@
 	untilMs  int64  // expiry of the reservation
 	seq      uint64 // sequence number of the start request
 	boot     int64  // the worker's boot id at the time of the reservation
-	inFlight bool   // the start request may still be in flight
+	inFlight bool   // the start request has been neither answered nor given up
 	end      Report // set in phase ended
 	recorded bool   // the home group has recorded the end
 }
@@ -166,7 +167,7 @@
 // Mode restricts which attempts may be placed on a worker.
 type Mode uint8
 
-// The modes.
+// Values of Mode.
 const (
 	Open   Mode = iota // all attempts
 	Closed             // no attempts
@@ -194,12 +195,13 @@
 // Slot identifies the worker on which capacity is reserved.
 type Slot struct {
 	Worker string
-	Boot   int64 // the worker's boot id at the time of the reservation
+	Boot   int64 // the worker's boot id when Reserve returned
 }
 
-// Reserve reserves capacity on the best worker with enough of it. A repeated ask
-// for a reserved attempt extends the reservation and returns the same worker;
-// ok is false once the attempt has begun, if it is denied, or if no worker fits.
+// Reserve reserves capacity for an attempt; see choose for the selection of the
+// worker. A repeated ask for a reserved attempt extends the reservation and
+// returns the same worker. The result ok is false if Begin was called for the
+// attempt, if the attempt is denied, or if no worker fits.
 func (b *Books) Reserve(ask Ask, nowMs int64) (slot Slot, ok bool) {
 	if w, a := b.find(ask.Attempt); a != nil {
 		a.untilMs = max(a.untilMs, ask.UntilMs)
@@ -232,8 +234,8 @@
 			contains(ask.Exclude, id) || w.heldForOther(ask.Attempt, nowMs) {
 			continue
 		}
-		left := w.free().Minus(ask.Size)
-		score := left.Dominant(w.Cap)
+		remaining := w.free().Minus(ask.Size)
+		score := remaining.Dominant(w.Cap)
 		if ask.Size.Accel == 0 && w.Cap.Accel > 0 {
 			score += acceleratorPenalty
 		}
@@ -249,7 +251,8 @@
 
 // acceleratorPenalty is added to the score of a worker with accelerators if the
 // ask needs none. Scores without it lie between 0 and 1, so it outweighs any
-// difference in free capacity.
+// difference in free capacity. The score of a service is negated afterwards, so
+// services prefer workers with accelerators.
 const acceleratorPenalty = 1.0
 
 // modeAllows reports whether the worker's mode, Open or Probe, permits the ask.
@@ -261,10 +264,10 @@
 	return ask.Again && w.used.IsZero()
 }
 
-// heldForOther reports whether the worker's free capacity is held for an attempt
-// other than at.
-func (w *workerState) heldForOther(at Attempt, nowMs int64) bool {
-	return nowMs < w.heldUntilMs && w.heldFor != at
+// heldForOther reports whether the worker's free capacity is held for another
+// attempt.
+func (w *workerState) heldForOther(attempt Attempt, nowMs int64) bool {
+	return nowMs < w.heldUntilMs && w.heldFor != attempt
 }
 
 func (w *workerState) schedulable() bool { return w.ready && w.mode != Closed && !w.Leaving }
@@ -295,8 +298,9 @@
 	delete(b.workerOf, a.attempt)
 }
 
-// finish frees the capacity of an attempt that has ended. It keeps the
-// allocation with its end until Forget and the next renewal have removed it.
+// finish frees the capacity of an attempt that has ended. The allocation keeps
+// the end until the home group has recorded it (see Forget) and the worker has
+// answered a renewal that lists the attempt.
 func (b *Books) finish(w *workerState, a *allocation, end Report) {
 	if a.phase != ended {
 		w.used = w.used.Minus(a.size)
@@ -305,13 +309,13 @@
 }
 
 // find returns the worker and the allocation of an attempt, or nil, nil.
-func (b *Books) find(at Attempt) (*workerState, *allocation) {
-	id, ok := b.workerOf[at]
+func (b *Books) find(attempt Attempt) (*workerState, *allocation) {
+	id, ok := b.workerOf[attempt]
 	if !ok {
 		return nil, nil
 	}
 	w := b.workers[id]
-	return w, w.allocations[at]
+	return w, w.allocations[attempt]
 }
 
 // Order holds the fields of a start request that the worker checks.
@@ -321,17 +325,18 @@
 	Boot   int64  // expected boot id; the worker refuses the request if it has restarted
 }
 
-// Begin marks a reserved attempt as being started. Call it before sending the
-// start request. It fails if the reservation has expired. It also fails if the
-// worker is no longer schedulable or has restarted; the attempt is then denied.
-func (b *Books) Begin(at Attempt) (o Order, ok bool) {
-	w, a := b.find(at)
+// Begin returns the fields of the start request of a reserved attempt. Call it
+// before the request is sent. It fails if the attempt has no reservation, for example because Lapse has
+// removed it. It also fails if the worker is no longer schedulable or has
+// restarted; the attempt is then denied.
+func (b *Books) Begin(attempt Attempt) (o Order, ok bool) {
+	w, a := b.find(attempt)
 	if a == nil || a.phase != reserved {
 		return Order{}, false
 	}
 	if !w.schedulable() || w.boot != a.boot {
 		b.remove(w, a)
-		b.deny(at)
+		b.deny(attempt)
 		return Order{}, false
 	}
 	a.phase, a.seq, a.inFlight = sending, b.nextSeq, true
@@ -340,38 +345,38 @@
 }
 
 // Started records that the worker has confirmed the start.
-func (b *Books) Started(at Attempt) {
-	if _, a := b.find(at); a != nil && a.phase == sending {
+func (b *Books) Started(attempt Attempt) {
+	if _, a := b.find(attempt); a != nil && a.phase == sending {
 		a.phase, a.inFlight = running, false
 	}
 }
 
 // Refused records that the worker has refused the start. The attempt is denied.
-func (b *Books) Refused(at Attempt) {
-	if w, a := b.find(at); a != nil && a.phase == sending {
+func (b *Books) Refused(attempt Attempt) {
+	if w, a := b.find(attempt); a != nil && a.phase == sending {
 		b.remove(w, a)
-		b.deny(at)
+		b.deny(attempt)
 	}
 }
 
 // Unsure records that the start request got no answer. Its capacity stays
 // allocated until an inventory with a higher floor shows whether it started.
-func (b *Books) Unsure(at Attempt) {
-	if _, a := b.find(at); a != nil && a.phase == sending {
+func (b *Books) Unsure(attempt Attempt) {
+	if _, a := b.find(attempt); a != nil && a.phase == sending {
 		a.inFlight = false
 	}
 }
 
 // Renewal holds the fields of a lease renewal that is sent to a worker.
 type Renewal struct {
-	// Floor is the sequence number below which no start request is in flight.
-	// The worker refuses start requests below it from then on, so the inventory
-	// in its answer is final for them.
+	// Floor is the lowest sequence number that the worker still accepts. Start
+	// requests with lower ones have been answered or given up. The worker refuses
+	// them from then on, so the inventory in its answer is final for them.
 	Floor uint64
 	// Forget lists ended attempts that the worker can stop reporting. Only
-	// attempts below the floor are listed: the worker ignores a duplicate start
-	// request as long as it has the attempt, and refuses it once it is below
-	// the floor.
+	// attempts whose start request is below Floor are listed. A duplicate of that
+	// request has no effect: the worker ignores it while it reports the attempt,
+	// and refuses it afterwards.
 	Forget []Attempt
 }
 
@@ -387,17 +392,17 @@
 			r.Floor = min(r.Floor, a.seq)
 		}
 	}
-	for at, a := range w.allocations {
+	for attempt, a := range w.allocations {
 		if a.recorded && a.seq < r.Floor {
-			r.Forget = append(r.Forget, at)
+			r.Forget = append(r.Forget, attempt)
 		}
 	}
 	return r
 }
 
 // Cancel removes the reservation of an attempt that will not be started.
-func (b *Books) Cancel(at Attempt) {
-	if w, a := b.find(at); a != nil && a.phase == reserved {
+func (b *Books) Cancel(attempt Attempt) {
+	if w, a := b.find(attempt); a != nil && a.phase == reserved {
 		b.remove(w, a)
 	}
 }
@@ -405,9 +410,9 @@
 // Lapse removes the expired reservations and returns their number.
 func (b *Books) Lapse(nowMs int64) int {
 	n := 0
-	for at, id := range b.workerOf {
+	for attempt, id := range b.workerOf {
 		w := b.workers[id]
-		if a := w.allocations[at]; a.phase == reserved && a.untilMs <= nowMs {
+		if a := w.allocations[attempt]; a.phase == reserved && a.untilMs <= nowMs {
 			b.remove(w, a)
 			n++
 		}
@@ -415,18 +420,18 @@
 	return n
 }
 
-// maxDenied limits the number of denied attempts that are kept. Only an owner of
-// the home group from an older epoch can still ask for a denied attempt, and its
-// requests are at most seconds old.
+// maxDenied limits the number of denied attempts that are kept. Only a previous
+// owner of the home group can still ask for a denied attempt, and its requests are
+// at most seconds old, so older entries are not needed.
 const maxDenied = 65536
 
 // deny marks the attempt as one that must never start.
-func (b *Books) deny(at Attempt) {
-	if b.denied[at] {
+func (b *Books) deny(attempt Attempt) {
+	if b.denied[attempt] {
 		return
 	}
-	b.denied[at] = true
-	b.deniedOrder = append(b.deniedOrder, at)
+	b.denied[attempt] = true
+	b.deniedOrder = append(b.deniedOrder, attempt)
 	if len(b.deniedOrder) > maxDenied {
 		delete(b.denied, b.deniedOrder[0])
 		b.deniedOrder = b.deniedOrder[1:]
--- a/internal/cell/books/evict.go
+++ b/internal/cell/books/evict.go
@@ -13,7 +13,8 @@
 //
 // It selects the worker whose victims take the smallest dominant share of its
 // capacity. On a worker the attempts that started last are stopped first because
-// they lose the least progress.
+// they lose the least progress. Attempts known only from an inventory, such as
+// those placed before a takeover, have no sequence number and are stopped last.
 func (b *Books) Evict(ask Ask, nowMs, untilMs int64) []Attempt {
 	var best *workerState
 	var bestVictims []*allocation
@@ -44,7 +45,7 @@
 
 // victims returns the batch attempts to stop so that need fits on the worker, and
 // their total size.
-func (w *workerState) victims(need jobs.Size) (victims []*allocation, size jobs.Size, ok bool) {
+func (w *workerState) victims(need jobs.Size) (toStop []*allocation, size jobs.Size, ok bool) {
 	var candidates []*allocation
 	for _, a := range w.allocations {
 		if a.phase == running && a.kind == jobs.Batch {
@@ -62,7 +63,7 @@
 		if need.Fits(free) {
 			break
 		}
-		victims, size, free = append(victims, a), size.Plus(a.size), free.Plus(a.size)
+		toStop, size, free = append(toStop, a), size.Plus(a.size), free.Plus(a.size)
 	}
-	return victims, size, need.Fits(free)
+	return toStop, size, need.Fits(free)
 }
--- a/internal/cell/books/report.go
+++ b/internal/cell/books/report.go
@@ -2,7 +2,7 @@
 
 import "lagooncourse/internal/cell/jobs"
 
-// Report is the end of an attempt, for its home group.
+// Report describes the end of an attempt to its home group.
 type Report struct {
 	Attempt    Attempt
 	Home       string
@@ -31,15 +31,15 @@
 }
 
 // Inventory reconciles the worker's allocations with its inventory. It returns
-// the ends of attempts that were not known before.
+// the ends that were not known before.
 func (b *Books) Inventory(worker string, inv Inventory) []Report {
 	w := b.workers[worker]
 	if w == nil {
 		return nil
 	}
 	w.boot = inv.Boot
-	for _, at := range inv.Forget {
-		if a := w.allocations[at]; a != nil && a.recorded {
+	for _, attempt := range inv.Forget {
+		if a := w.allocations[attempt]; a != nil && a.recorded {
 			b.remove(w, a)
 		}
 	}
@@ -51,8 +51,8 @@
 			reports = append(reports, r)
 		}
 	}
-	for at, a := range w.allocations {
-		if !reported[at] {
+	for attempt, a := range w.allocations {
+		if !reported[attempt] {
 			if r, ok := b.reconcileMissing(w, a, inv.Floor); ok {
 				reports = append(reports, r)
 			}
@@ -103,8 +103,8 @@
 		if a.inFlight || a.seq >= floor {
 			return Report{}, false
 		}
-		// Without a restart the worker would still report the attempt, so it
-		// has never run. After a restart it may have run.
+		// A worker that has not restarted would report the attempt if it had
+		// started. After a restart the attempt may have run.
 		if a.boot == w.boot {
 			how = jobs.EndAbsent
 		}
@@ -124,15 +124,15 @@
 	}
 	w.ready, w.lost = false, true
 	var reports []Report
-	for at, a := range w.allocations {
+	for attempt, a := range w.allocations {
 		switch a.phase {
 		case reserved:
 			b.remove(w, a)
-			b.deny(at)
+			b.deny(attempt)
 		case sending, running:
-			end := Report{Attempt: at, Home: a.home, Worker: worker, How: jobs.EndLost}
+			end := Report{Attempt: attempt, Home: a.home, Worker: worker, How: jobs.EndLost}
 			b.finish(w, a, end)
-			b.deny(at)
+			b.deny(attempt)
 			reports = append(reports, end)
 		}
 	}
@@ -149,8 +149,8 @@
 
 // Forget records that the attempt's home group has recorded its end. The attempt
 // is removed after a renewal has listed it to the worker.
-func (b *Books) Forget(at Attempt) {
-	if _, a := b.find(at); a != nil && a.phase == ended {
+func (b *Books) Forget(attempt Attempt) {
+	if _, a := b.find(attempt); a != nil && a.phase == ended {
 		a.recorded = true
 	}
 }
@@ -158,7 +158,7 @@
 // Place is the state of an attempt as returned by Where.
 type Place string
 
-// The states that Where returns.
+// Values of Place.
 const (
 	There  Place = "there"  // the attempt runs
 	Ended  Place = "ended"  // the attempt has ended; the report has the details
@@ -176,9 +176,10 @@
 // Where answers a query. It denies an attempt that it reports as absent or lost,
 // so that a late start request cannot make the answer wrong.
 //
-// expired states that every lease granted by previous owners is certain to have
-// expired. A worker that is not listed then runs no attempt of the group.
-func (b *Books) Where(q Query, expired bool) (Place, Report) {
+// The argument leasesExpired states that every lease granted by previous owners is
+// certain to have expired. A worker that is not in the host list then runs no
+// attempt of the group.
+func (b *Books) Where(q Query, leasesExpired bool) (Place, Report) {
 	if w, a := b.find(q.Attempt); a != nil {
 		switch a.phase {
 		case ended:
@@ -197,7 +198,9 @@
 	case w != nil && w.ready && w.boot == q.Boot:
 		b.deny(q.Attempt)
 		return Absent, Report{}
-	case w != nil && (w.ready || w.lost), w == nil && expired:
+	case w != nil && (w.ready || w.lost), w == nil && leasesExpired:
+		// The worker has restarted, its lease has expired, or it is not listed and
+		// all leases have expired.
 		b.deny(q.Attempt)
 		return Ended, Report{Attempt: q.Attempt, Worker: q.Worker, How: jobs.EndLost}
 	}
@@ -234,16 +237,16 @@
 		return nil
 	}
 	var list []RunningAttempt
-	for at, a := range w.allocations {
+	for attempt, a := range w.allocations {
 		if a.phase == running {
-			list = append(list, RunningAttempt{Attempt: at, Home: a.home, Worker: worker, Kind: a.kind, Size: a.size})
+			list = append(list, RunningAttempt{Attempt: attempt, Home: a.home, Worker: worker, Kind: a.kind, Size: a.size})
 		}
 	}
 	return list
 }
 
 // WorkerOf returns the worker to which the attempt is allocated.
-func (b *Books) WorkerOf(at Attempt) (string, bool) {
-	id, ok := b.workerOf[at]
+func (b *Books) WorkerOf(attempt Attempt) (string, bool) {
+	id, ok := b.workerOf[attempt]
 	return id, ok
 }
