--- a/internal/cell/books/books_test.go
+++ b/internal/cell/books/books_test.go
@@ -10,18 +10,13 @@
 	"lagooncourse/internal/cell/jobs"
 )
 
-// TestPromisesUnderFaults simulates a home group, successive owners of a group,
-// the group's workers, and a network that delays, duplicates and drops requests.
-// It checks two invariants on the tasks that the workers run: no worker is
-// overcommitted, and no task runs twice.
-
 // startRequest is a start request in flight.
 type startRequest struct {
-	at    Attempt
-	epoch uint64
-	seq   uint64
-	boot  int64
-	size  int64
+	attempt Attempt
+	epoch   uint64
+	seq     uint64
+	boot    int64
+	size    int64
 }
 
 // simWorker is a simulated worker with the checks that the platform guarantees.
@@ -59,10 +54,10 @@
 	if !w.acceptEpoch(m.epoch) || m.seq < w.floor || !w.lease || m.boot != w.boot {
 		return false
 	}
-	if _, ended := w.done[m.at]; ended {
+	if _, ended := w.done[m.attempt]; ended {
 		return true
 	}
-	w.running[m.at] = m.size
+	w.running[m.attempt] = m.size
 	return true
 }
 
@@ -71,15 +66,15 @@
 		return Inventory{}, false
 	}
 	w.floor, w.lease = max(w.floor, r.Floor), true
-	for _, at := range r.Forget {
-		delete(w.done, at)
+	for _, attempt := range r.Forget {
+		delete(w.done, attempt)
 	}
 	inv := Inventory{Renewal: r, Boot: w.boot}
-	for at, size := range w.running {
-		inv.Seen = append(inv.Seen, Seen{Attempt: at, Home: "h", Kind: jobs.Batch, Size: jobs.Size{CPU: size}})
+	for attempt, size := range w.running {
+		inv.Seen = append(inv.Seen, Seen{Attempt: attempt, Home: "h", Kind: jobs.Batch, Size: jobs.Size{CPU: size}})
 	}
-	for at, how := range w.done {
-		inv.Seen = append(inv.Seen, Seen{Attempt: at, Home: "h", How: how})
+	for attempt, how := range w.done {
+		inv.Seen = append(inv.Seen, Seen{Attempt: attempt, Home: "h", How: how})
 	}
 	return inv, true
 }
@@ -92,21 +87,21 @@
 
 // simulation is the complete state of the test.
 type simulation struct {
-	t       *rapid.T
-	workers map[string]*simWorker
-	owners  []*simOwner // by epoch; older ones may resume after a pause
-	net     []startRequest
-	dest    []string // worker of each message in net
-	tasks   []jobs.Task
-	sizes   []int64        // size of each task
-	ran     map[string]int // task -> finished runs
-	nowMs   int64
+	t            *rapid.T
+	workers      map[string]*simWorker
+	owners       []*simOwner // by epoch; older ones may resume after a pause
+	net          []startRequest
+	dest         []string // worker of each message in net
+	tasks        []jobs.Task
+	sizes        []int64        // size of each task
+	finishedRuns map[string]int // by task
+	nowMs        int64
 }
 
 var testSpec = jobs.Spec{Kind: jobs.Batch, Tasks: 1}
 
 func newSimulation(t *rapid.T) *simulation {
-	sim := &simulation{t: t, workers: map[string]*simWorker{}, ran: map[string]int{}}
+	sim := &simulation{t: t, workers: map[string]*simWorker{}, finishedRuns: map[string]int{}}
 	for _, id := range []string{"w0", "w1"} {
 		sim.workers[id] = &simWorker{id: id, cap: 4, boot: 1, running: map[Attempt]int64{}, done: map[Attempt]jobs.How{}}
 	}
@@ -131,7 +126,7 @@
 	sim.owners = append(sim.owners, owner)
 }
 
-func (sim *simulation) attempt(i, n int) Attempt {
+func (sim *simulation) attemptOf(i, n int) Attempt {
 	return Attempt{Task: fmt.Sprintf("j.1/%d", i), Number: n}
 }
 
@@ -142,8 +137,8 @@
 	if sim.tasks[i].State != jobs.Waiting {
 		return
 	}
-	at := sim.attempt(i, sim.tasks[i].Attempt+1)
-	slot, ok := owner.books.Reserve(Ask{Attempt: at, Home: "h", Kind: jobs.Batch, Size: jobs.Size{CPU: sim.sizes[i]}, UntilMs: sim.nowMs + 10}, sim.nowMs)
+	attempt := sim.attemptOf(i, sim.tasks[i].Attempt+1)
+	slot, ok := owner.books.Reserve(Ask{Attempt: attempt, Home: "h", Kind: jobs.Batch, Size: jobs.Size{CPU: sim.sizes[i]}, UntilMs: sim.nowMs + 10}, sim.nowMs)
 	if !ok {
 		return
 	}
@@ -156,20 +151,21 @@
 	if sim.tasks[i].State != jobs.Placed {
 		return
 	}
-	at := sim.attempt(i, sim.tasks[i].Attempt)
-	o, ok := owner.books.Begin(at)
+	attempt := sim.attemptOf(i, sim.tasks[i].Attempt)
+	o, ok := owner.books.Begin(attempt)
 	if !ok {
 		return
 	}
-	sim.net = append(sim.net, startRequest{at: at, epoch: owner.epoch, seq: o.Seq, boot: o.Boot, size: sim.sizes[i]})
+	sim.net = append(sim.net, startRequest{attempt: attempt, epoch: owner.epoch, seq: o.Seq, boot: o.Boot, size: sim.sizes[i]})
 	sim.dest = append(sim.dest, o.Worker)
 }
 
 // deliver delivers message n to its worker. The answer is lost unless answered is
-// set. With again set, the message stays in the network to be delivered again.
-func (sim *simulation) deliver(n int, answered, again bool) {
+// set. If duplicate is set, the message stays in the network and can be delivered
+// again.
+func (sim *simulation) deliver(n int, answered, duplicate bool) {
 	m, id := sim.net[n], sim.dest[n]
-	if !again {
+	if !duplicate {
 		sim.net = append(sim.net[:n:n], sim.net[n+1:]...)
 		sim.dest = append(sim.dest[:n:n], sim.dest[n+1:]...)
 	}
@@ -177,11 +173,11 @@
 	owner := sim.owners[m.epoch-1]
 	switch {
 	case !answered:
-		owner.books.Unsure(m.at)
+		owner.books.Unsure(m.attempt)
 	case ok:
-		owner.books.Started(m.at)
+		owner.books.Started(m.attempt)
 	default:
-		owner.books.Refused(m.at)
+		owner.books.Refused(m.attempt)
 	}
 }
 
@@ -198,7 +194,7 @@
 // owner.
 func (sim *simulation) end(r Report) {
 	for i := range sim.tasks {
-		if r.Attempt.Task != sim.attempt(i, 0).Task {
+		if r.Attempt.Task != sim.attemptOf(i, 0).Task {
 			continue
 		}
 		sim.tasks[i] = sim.tasks[i].WithEnd(testSpec, jobs.End{Attempt: r.Attempt.Number, How: r.How})
@@ -213,14 +209,14 @@
 	if t.State != jobs.Placed {
 		return
 	}
-	at := sim.attempt(i, t.Attempt)
-	place, r := sim.currentOwner().books.Where(Query{Attempt: at, Worker: t.Worker, Boot: t.Boot}, false)
+	attempt := sim.attemptOf(i, t.Attempt)
+	place, r := sim.currentOwner().books.Where(Query{Attempt: attempt, Worker: t.Worker, Boot: t.Boot}, false)
 	switch place {
 	case Ended:
-		r.Attempt = at
+		r.Attempt = attempt
 		sim.end(r)
 	case Absent:
-		sim.end(Report{Attempt: at, How: jobs.EndAbsent})
+		sim.end(Report{Attempt: attempt, How: jobs.EndAbsent})
 	}
 }
 
@@ -236,18 +232,18 @@
 // expireLease expires the worker's lease, which stops its running attempts.
 func (w *simWorker) expireLease() {
 	w.lease = false
-	for at := range w.running {
-		delete(w.running, at)
-		w.done[at] = jobs.EndStopped
+	for attempt := range w.running {
+		delete(w.running, attempt)
+		w.done[attempt] = jobs.EndStopped
 	}
 }
 
 // finish completes the running task with the lowest name on the worker.
 func (sim *simulation) finish(w *simWorker) {
 	var first Attempt
-	for at := range w.running {
-		if first.Task == "" || at.Task < first.Task {
-			first = at
+	for attempt := range w.running {
+		if first.Task == "" || attempt.Task < first.Task {
+			first = attempt
 		}
 	}
 	if first.Task == "" {
@@ -255,7 +251,7 @@
 	}
 	delete(w.running, first)
 	w.done[first] = jobs.EndOK
-	sim.ran[first.Task]++
+	sim.finishedRuns[first.Task]++
 }
 
 // checkInvariants fails the test if a worker is overcommitted, or if a task runs
@@ -264,20 +260,23 @@
 	where := map[string]string{}
 	for id, w := range sim.workers {
 		assert.Assert(sim.t, w.used() <= w.cap, "worker %s runs %d of %d", id, w.used(), w.cap)
-		for at := range w.running {
-			other, twice := where[at.Task]
-			assert.Assert(sim.t, !twice, "task %s runs on %s and %s", at.Task, other, id)
-			where[at.Task] = id
+		for attempt := range w.running {
+			other, twice := where[attempt.Task]
+			assert.Assert(sim.t, !twice, "task %s runs on %s and %s", attempt.Task, other, id)
+			where[attempt.Task] = id
 		}
 	}
-	for task, n := range sim.ran {
+	for task, n := range sim.finishedRuns {
 		assert.Assert(sim.t, n <= 1, "task %s finished %d times", task, n)
 	}
 }
 
-// TestPromisesUnderFaults runs random steps: delayed, duplicate and unanswered
-// start requests, paused owners, takeovers, expired leases and worker restarts.
-func TestPromisesUnderFaults(t *testing.T) {
+// TestInvariantsUnderFaults simulates a home group, successive owners of a group,
+// the group's workers, and a network that delays, duplicates and drops requests.
+// It runs random steps: delayed, duplicate and unanswered start requests, paused
+// owners, takeovers, expired leases and worker restarts. After each step it checks
+// that no worker is overcommitted and that no task runs twice.
+func TestInvariantsUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sim := newSimulation(t)
 		for range rapid.IntRange(10, 80).Draw(t, "steps") {
@@ -301,7 +300,7 @@
 	case 5, 6:
 		if len(sim.net) > 0 {
 			n := rapid.IntRange(0, len(sim.net)-1).Draw(sim.t, "message")
-			sim.deliver(n, rapid.Bool().Draw(sim.t, "answered"), rapid.IntRange(0, 3).Draw(sim.t, "again") == 0)
+			sim.deliver(n, rapid.Bool().Draw(sim.t, "answered"), rapid.IntRange(0, 3).Draw(sim.t, "duplicate") == 0)
 		}
 	case 7, 8:
 		sim.renew(owner, w)
@@ -330,7 +329,7 @@
 	}
 }
 
-// TestEvict checks that Evict selects the victims with the smallest total size,
+// TestEvict checks that Evict selects the victims with the smallest dominant share,
 // and that only the urgent attempt can use the capacity that they free.
 func TestEvict(t *testing.T) {
 	b := New()
