--- a/internal/cell/group/call.go
+++ b/internal/cell/group/call.go
@@ -2,20 +2,20 @@
 
 import "lagooncourse/internal/base/fault"
 
-// Call is the record of a call that must run at most once. It is written before
-// the call is sent, and again with the outcome.
+// Call is the record of a call to an executor that must run at most once. It is
+// written before the call is sent, and again with the outcome.
 //
 // After a takeover the new owner cannot find out whether a call without an
 // outcome ran, because executors neither check fencing tokens nor keep records of
 // calls. It answers every retry with Unknown and does not send the call again.
 type Call struct {
 	Team    string
-	ID      string // idempotency key within the team
-	Epoch   uint64 // epoch in which the call was sent
-	AtMs    int64
+	ID      string        // idempotency key within the team
+	Epoch   uint64        // epoch in which the call was sent
+	AtMs    int64         // time at which the call was first recorded, in ms since 1970
 	Ran     fault.Outcome // empty while the call is in progress
 	Status  int
-	Answer  []byte // empty if longer than MaxAnswerBytes
+	Answer  []byte // not stored if longer than MaxAnswerBytes
 	Dropped bool   // the answer was too long to store
 }
 
--- a/internal/cell/group/group.go
+++ b/internal/cell/group/group.go
@@ -2,13 +2,14 @@
 // with the states of their tasks, the records of calls that must run at most
 // once, and the group's owner.
 //
-// A group is a set of racks of one availability zone, a stream of the log, and a
-// share of the submitted jobs. At most one entry host at a time, the group's
-// owner, can write to its state. Ownership is decided by the log: a claim names
-// the next epoch, and the first claim of an epoch by offset wins. Every other
-// batch carries its writer's epoch and a sequence number. It is ignored unless it
-// is the next batch of the current epoch, so batches of a previous owner that
-// resumes after a pause, and late or duplicate appends, have no effect.
+// A group has a set of racks of one availability zone, a stream of the log, and
+// the jobs that were submitted to it. At most one entry host at a time, the group's
+// owner, can write to its state. Ownership is decided by the log: a claim contains
+// the next epoch, and of several claims of one epoch the one with the lowest offset
+// is valid. Every other batch contains its owner's epoch and a sequence number. It
+// is ignored unless it is the next batch of the current epoch, so batches of a
+// previous owner that resumes after a pause, and late or duplicate appends, have no
+// effect.
 //
 // The state is a pure function of the stream's records, so a new owner needs only
 // the log to rebuild it.
@@ -63,7 +64,7 @@
 	AtMs int64
 }
 
-// Start is the intent to run the next attempt of a task.
+// Start records the intent to run the next attempt of a task.
 type Start struct {
 	Ref     jobs.Ref
 	Attempt int // must be the task's latest attempt plus 1
@@ -90,8 +91,9 @@
 	BeforeMs int64
 }
 
-// SubKey returns the key of a submission or call of a team in the maps of State.
-func SubKey(team, submission string) string { return team + "\x00" + submission }
+// SubKey returns the key in the maps of State of the submission or call with the
+// given idempotency key.
+func SubKey(team, id string) string { return team + "\x00" + id }
 
 // Observer is notified of every task change while the state applies it.
 type Observer interface {
@@ -130,8 +132,8 @@
 	s.Calls = map[string]Call{}
 }
 
-// Apply applies the next entry of the stream. An entry that cannot be decoded is
-// ignored.
+// Apply applies the next entry of the stream. It does not use the offset. An entry
+// that cannot be decoded is ignored.
 func (s *State) Apply(_ int64, data []byte) {
 	b, err := frame.Decode[Batch](data)
 	if err != nil {
@@ -140,7 +142,7 @@
 	s.ApplyBatch(b)
 }
 
-// ApplyBatch applies a decoded batch and reports whether it was valid.
+// ApplyBatch applies a decoded batch if it is valid, and reports whether it did.
 func (s *State) ApplyBatch(b Batch) bool {
 	if b.Claim != nil {
 		return s.applyClaim(b)
@@ -168,8 +170,8 @@
 
 // Verdict reports whether the batch with the given epoch and sequence number has
 // been applied, and whether this answer is final. It is not final while the batch
-// may still arrive. Two or more claims after the batch's epoch, the answer is no
-// longer known and both results are false.
+// may still arrive. Both results are false if the answer is not known: after two or
+// more later claims, and for an epoch that has not begun.
 func (s *State) Verdict(epoch, seq uint64) (applied, settled bool) {
 	switch {
 	case epoch == s.Epoch:
@@ -222,6 +224,7 @@
 // is no longer waiting for this attempt, for instance because an earlier record
 // of the same batch cancelled the job.
 func (s *State) applyStart(r Start) {
+	// The time is not used because a start does not end a job.
 	s.updateTask(r.Ref, 0, func(_ *jobs.Job, t jobs.Task) jobs.Task {
 		if t.State != jobs.Waiting || t.Attempt+1 != r.Attempt {
 			return t
@@ -241,15 +244,15 @@
 	}
 }
 
-// updateTask replaces the task with the result of next, updates Used and the
+// updateTask replaces the task with the result of change, updates Used and the
 // job's end time, and notifies the observer.
-func (s *State) updateTask(ref jobs.Ref, nowMs int64, next func(*jobs.Job, jobs.Task) jobs.Task) {
+func (s *State) updateTask(ref jobs.Ref, nowMs int64, change func(*jobs.Job, jobs.Task) jobs.Task) {
 	j := s.Jobs[ref.Job]
 	if j == nil || ref.Index < 0 || ref.Index >= len(j.Tasks) {
 		return
 	}
 	before := j.Tasks[ref.Index]
-	after := next(j, before)
+	after := change(j, before)
 	if after == before {
 		return
 	}
@@ -343,19 +346,21 @@
 // Restore replaces the state with the result of Snapshot and notifies the
 // observer of every task.
 func (s *State) Restore(data []byte) error {
-	img, err := frame.Decode[snapshot](data)
+	snap, err := frame.Decode[snapshot](data)
 	if err != nil {
 		return err
 	}
 	s.reset()
-	s.Epoch, s.Seq, s.LastSeq, s.Owner, s.NextJob = img.Epoch, img.Seq, img.LastSeq, img.Owner, img.NextJob
-	if img.Calls != nil {
-		s.Calls = img.Calls
+	s.Epoch, s.Seq, s.LastSeq, s.Owner, s.NextJob = snap.Epoch, snap.Seq, snap.LastSeq, snap.Owner, snap.NextJob
+	if snap.Calls != nil {
+		s.Calls = snap.Calls
 	}
-	for _, j := range img.Jobs {
+	for _, j := range snap.Jobs {
 		s.Jobs[j.ID] = j
 		s.Subs[SubKey(j.Spec.Team, j.Spec.Submission)] = j.ID
 		for i, t := range j.Tasks {
+			// With Waiting as the previous state, only the usage of a placed task
+			// is added.
 			s.updateUsed(j.Spec, jobs.Waiting, t.State)
 			s.notify(j, i, jobs.Task{})
 		}
--- a/internal/cell/group/group_test.go
+++ b/internal/cell/group/group_test.go
@@ -97,18 +97,18 @@
 	return Batch{Epoch: s.Epoch, Seq: s.Seq + 1, Records: drawRecords(t), Release: rapid.IntRange(0, 9).Draw(t, "release") == 0}
 }
 
-// TestAgainstNaive compares the state with histories rebuilt from the valid
-// batches. The streams contain stale and duplicate batches, and the state is
+// TestAgainstReferenceModel compares the state with histories rebuilt from the
+// valid batches. The streams contain stale and duplicate batches, and the state is
 // restored from snapshots.
-func TestAgainstNaive(t *testing.T) {
+func TestAgainstReferenceModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := NewState("g")
 		var all []Batch
 		for range rapid.IntRange(1, 40).Draw(t, "n") {
 			b := drawBatch(t, s)
 			all = append(all, b)
-			counted := len(valid(all)) > len(valid(all[:len(all)-1]))
-			assert.Equal(t, s.ApplyBatch(b), counted, "batch %+v", b)
+			wantApplied := len(valid(all)) > len(valid(all[:len(all)-1]))
+			assert.Equal(t, s.ApplyBatch(b), wantApplied, "batch %+v", b)
 			if rapid.IntRange(0, 5).Draw(t, "restart") == 0 {
 				s = restart(t, s)
 			}
@@ -136,8 +136,9 @@
 	return n
 }
 
-// TestVerdict checks that Verdict reports a batch as applied only if it is, and
-// finally as not applied only if it can never be applied.
+// TestVerdict checks that a batch for which Verdict gives the final answer "not
+// applied" has not been applied and can no longer be applied. It does not verify
+// the answer "applied": that assertion holds for every state.
 func TestVerdict(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := NewState("g")
