--- a/internal/cell/queue/policy.go
+++ b/internal/cell/queue/policy.go
@@ -3,8 +3,8 @@
 import "lagooncourse/internal/cell/jobs"
 
 // Fair orders items by kind, most urgent first, and within a kind by weighted
-// dominant share: the team with the smallest dominant share of the fleet per
-// weight goes first. To avoid starvation, items that have waited longer than
+// dominant share: the team with the smallest dominant share of the fleet, divided by
+// its weight, goes first. To avoid starvation, items that have waited longer than
 // MaxWaitMs go before all items that are not urgent, oldest first.
 type Fair struct {
 	MaxWaitMs int64 // 0 means 10 minutes
@@ -36,7 +36,7 @@
 }
 
 // overdueRank is the rank of items that have waited longer than MaxWaitMs. It comes
-// directly after the rank of urgent items.
+// directly after 0, the rank of urgent items.
 const overdueRank = 1
 
 // rank returns the priority of an item; lower ranks go first.
@@ -52,7 +52,7 @@
 	case nowMs-it.AtMs > limit:
 		return overdueRank
 	}
-	return r + overdueRank
+	return r + overdueRank // after overdueRank, because r is at least 1
 }
 
 // weightedShare returns the team's dominant share of the fleet divided by its
--- a/internal/cell/queue/queue.go
+++ b/internal/cell/queue/queue.go
@@ -1,10 +1,13 @@
 // Package queue holds the waiting work of one group and decides its order.
 //
+// A Queue holds all waiting items of the group, regardless of the queue that a job
+// names in its spec.
+//
 // An Item is the unit of placement: a single task, or all tasks of a gang. A Pass
 // iterates over the items of a Queue in the order of its Policy. The caller tries
 // to place each item and reports the result to the pass. If an item does not fit,
 // the pass skips all items of the same shape and continues with the others, so a
-// job that can never run does not block different ones.
+// job that can never run does not block jobs of other shapes.
 //
 // # Usage
 //
@@ -92,7 +95,7 @@
 	Used jobs.Size
 }
 
-// Config describes a Queue.
+// Config holds the parameters of a Queue.
 type Config struct {
 	Policy Policy // nil means Fair{}
 }
@@ -136,15 +139,15 @@
 		return
 	}
 	sh := it.shape()
-	l := q.shapeQueues[sh]
-	if l == nil {
-		l = &shapeQueue{shape: sh}
-		q.shapeQueues[sh] = l
+	sq := q.shapeQueues[sh]
+	if sq == nil {
+		sq = &shapeQueue{shape: sh}
+		q.shapeQueues[sh] = sq
 	}
 	q.seq++
 	it.seq = q.seq
-	l.items = append(l.items, it)
-	l.live++
+	sq.items = append(sq.items, it)
+	sq.live++
 	q.positions[it.Ref] = position{shape: sh, seq: it.seq}
 	q.demand[it.Team] = q.demand[it.Team].Plus(it.Total())
 }
@@ -157,27 +160,27 @@
 	}
 	sh := at.shape
 	delete(q.positions, ref)
-	l := q.shapeQueues[sh]
-	l.live--
+	sq := q.shapeQueues[sh]
+	sq.live--
 	left := q.demand[sh.team].Minus(sh.size.Times(int64(sh.count)))
 	if left.IsZero() {
 		delete(q.demand, sh.team)
 	} else {
 		q.demand[sh.team] = left
 	}
-	if l.live == 0 {
+	if sq.live == 0 {
 		delete(q.shapeQueues, sh)
 	}
 }
 
-// head returns the oldest waiting item of l. It drops removed items at the front.
-func (q *Queue) head(l *shapeQueue) (Item, bool) {
-	for len(l.items) > 0 {
-		it := l.items[0]
+// head returns the oldest waiting item of sq. It drops removed items at the front.
+func (q *Queue) head(sq *shapeQueue) (Item, bool) {
+	for len(sq.items) > 0 {
+		it := sq.items[0]
 		if q.isWaiting(it) {
 			return it, true
 		}
-		l.items = l.items[1:]
+		sq.items = sq.items[1:]
 	}
 	return Item{}, false
 }
@@ -190,8 +193,8 @@
 
 // Each calls fn for every waiting item, oldest first within a shape.
 func (q *Queue) Each(fn func(Item)) {
-	for _, l := range q.shapeQueues {
-		for _, it := range l.items {
+	for _, sq := range q.shapeQueues {
+		for _, it := range sq.items {
 			if q.isWaiting(it) {
 				fn(it)
 			}
@@ -200,8 +203,8 @@
 }
 
 // Pass is one iteration over the queue. Items may be removed from the queue
-// during a pass. Items of a new shape that are added during a pass are not
-// visited.
+// during a pass. An item that is added during a pass is not visited if no items of
+// its shape are waiting at that time.
 type Pass struct {
 	q           *Queue
 	view        *View
@@ -212,14 +215,14 @@
 // Pass starts a pass over the queue.
 func (q *Queue) Pass(v View) *Pass {
 	p := &Pass{q: q, view: &v, used: map[string]jobs.Size{}}
-	for _, l := range q.shapeQueues {
-		p.shapeQueues = append(p.shapeQueues, l)
+	for _, sq := range q.shapeQueues {
+		p.shapeQueues = append(p.shapeQueues, sq)
 	}
 	sort.Slice(p.shapeQueues, func(i, j int) bool { return p.shapeQueues[i].shape.less(p.shapeQueues[j].shape) })
 	return p
 }
 
-// less is a total order that makes the order of a pass deterministic.
+// less defines a total order that makes the order of a pass deterministic.
 func (s shape) less(o shape) bool {
 	switch {
 	case s.kind != o.kind:
@@ -268,8 +271,8 @@
 // Blocked excludes the item's shape from the rest of the pass.
 func (p *Pass) Blocked(it Item) {
 	sh := it.shape()
-	for i, l := range p.shapeQueues {
-		if l.shape == sh {
+	for i, sq := range p.shapeQueues {
+		if sq.shape == sh {
 			p.remove(i)
 			return
 		}
--- a/internal/cell/queue/queue_test.go
+++ b/internal/cell/queue/queue_test.go
@@ -11,9 +11,9 @@
 	"lagooncourse/internal/cell/jobs"
 )
 
-// naiveNext returns the item that the policy orders first among all items whose
+// referenceNext returns the item that the policy orders first among all items whose
 // shape is not blocked.
-func naiveNext(items map[jobs.Ref]Item, blocked map[shape]bool, used map[string]jobs.Size, p Policy, v *View) (best Item, ok bool) {
+func referenceNext(items map[jobs.Ref]Item, blocked map[shape]bool, used map[string]jobs.Size, p Policy, v *View) (best Item, ok bool) {
 	for _, it := range items {
 		if blocked[it.shape()] {
 			continue
@@ -26,9 +26,9 @@
 	return best, ok
 }
 
-// TestAgainstNaive compares the order of a pass with naiveNext, with random
-// removals before the pass and random results of the placements.
-func TestAgainstNaive(t *testing.T) {
+// TestAgainstReferenceModel compares the order of a pass with referenceNext. The
+// removals before the pass and the results of the placements are random.
+func TestAgainstReferenceModel(t *testing.T) {
 	for _, policy := range []Policy{FIFO{}, Fair{MaxWaitMs: 50}} {
 		t.Run(fmt.Sprintf("%T", policy), func(t *testing.T) {
 			rapid.Check(t, func(t *rapid.T) { comparePass(t, policy) })
@@ -49,7 +49,7 @@
 		q.Add(it)
 		items[it.Ref] = it
 		if rapid.IntRange(0, 3).Draw(t, "remove") == 0 {
-			ref := jobs.Ref{Job: jobs.NewID("g", rapid.Int64Range(1, int64(i+1)).Draw(t, "victim"))}
+			ref := jobs.Ref{Job: jobs.NewID("g", rapid.Int64Range(1, int64(i+1)).Draw(t, "removed"))}
 			q.Remove(ref)
 			delete(items, ref)
 		}
@@ -63,7 +63,7 @@
 	p := q.Pass(v)
 	for {
 		got, ok := p.Next()
-		want, wantOK := naiveNext(items, blocked, used, policy, &v)
+		want, wantOK := referenceNext(items, blocked, used, policy, &v)
 		assert.Equal(t, ok, wantOK)
 		if !ok {
 			break
@@ -89,9 +89,9 @@
 	assert.DeepEqual(t, q.Demand(), want)
 }
 
-// naiveShares finds by bisection the share per weight at which the teams use up
+// referenceShares finds by bisection the share per weight at which the teams use up
 // the fleet.
-func naiveShares(claims []Claim) map[string]float64 {
+func referenceShares(claims []Claim) map[string]float64 {
 	low, high := 0.0, 1e6
 	fill := func(level float64) (map[string]float64, float64) {
 		shares, sum := map[string]float64{}, 0.0
@@ -114,7 +114,7 @@
 	return shares
 }
 
-// TestFairShares compares FairShares with naiveShares.
+// TestFairShares compares FairShares with referenceShares.
 func TestFairShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var claims []Claim
@@ -124,7 +124,7 @@
 				Wants: float64(rapid.IntRange(0, 200).Draw(t, "wants")) / 100,
 			})
 		}
-		want := naiveShares(claims)
+		want := referenceShares(claims)
 		for team, got := range FairShares(claims) {
 			assert.Assert(t, math.Abs(got-want[team]) < 1e-6, "team %s gets %g, want %g", team, got, want[team])
 		}
--- a/internal/cell/queue/share.go
+++ b/internal/cell/queue/share.go
@@ -26,27 +26,28 @@
 		a, b := order[i].perWeight(), order[j].perWeight()
 		return a < b || a == b && order[i].Team < order[j].Team
 	})
-	var weights int64
+	var weightLeft int64
 	for _, c := range order {
-		weights += max(c.Weight, 1)
+		weightLeft += max(c.Weight, 1)
 	}
 	shares := make(map[string]float64, len(order))
 	left := 1.0
 	for _, c := range order {
 		w := max(c.Weight, 1)
-		share := min(c.Wants, left*float64(w)/float64(weights))
+		share := min(c.Wants, left*float64(w)/float64(weightLeft))
 		shares[c.Team] = share
 		left -= share
-		weights -= w
+		weightLeft -= w
 	}
 	return shares
 }
 
-// perWeight returns the wanted share divided by the weight.
+// perWeight returns the wanted share divided by the weight. FairShares serves the
+// team with the lowest value first.
 func (c Claim) perWeight() float64 { return c.Wants / float64(max(c.Weight, 1)) }
 
-// Shares returns the fair share of every team with running or waiting work. The
-// argument is the total size of each team's waiting work.
+// Shares returns the fair share of every team with running or waiting work. The map
+// waiting contains the total size of each team's waiting work.
 func (v *View) Shares(waiting map[string]jobs.Size) map[string]float64 {
 	teams := map[string]jobs.Size{}
 	for team, used := range v.Used {
