--- a/internal/cell/jobs/jobs.go
+++ b/internal/cell/jobs/jobs.go
@@ -3,8 +3,8 @@
 //
 // WithStart records the intent to run the next attempt, before the start
 // request is sent to a worker. WithEnd records how the attempt ended; it
-// ignores an end whose attempt number is not the running one, so duplicate and
-// late reports have no effect. WithCancel and WithSettled apply a cancellation
+// ignores an end of any attempt but the current one, so duplicate and late
+// reports have no effect. WithCancel and WithSettled apply a cancellation
 // and an operator's decision.
 //
 // This package alone decides what an end means for a task that is not
@@ -64,7 +64,7 @@
 	if !ok || g == "" {
 		return "", false
 	}
-	_, err := strconv.ParseUint(n, 10, 63)
+	_, err := strconv.ParseUint(n, 10, 63) // fits into the int64 of NewID
 	return g, err == nil
 }
 
@@ -87,11 +87,11 @@
 	return Ref{Job: ID(job), Index: n}, nil
 }
 
-// Limits of a Spec.
+// Limits, default and valid characters of a Spec's fields.
 const (
 	MaxTasks        = 1000
 	MaxCPUMillis    = 1_000_000             // per task
-	MaxMemoryMiB    = 16 << 20              // per task
+	MaxMemoryMiB    = 16 << 20              // 16 TiB per task
 	MaxAccelerators = 64                    // per task
 	MaxRunMs        = 90 * 24 * 3600 * 1000 // 90 days
 	MaxRetries      = 100
@@ -104,16 +104,16 @@
 // Spec is a submitted job specification. It does not change after the job has
 // been accepted.
 type Spec struct {
-	Name       string `json:"name"`                 // shared by jobs that behave alike
+	Name       string `json:"name"`                 // name of a family of similar jobs
 	Kind       Kind   `json:"kind"`                 // Batch if empty
 	Team       string `json:"team,omitempty"`       // set from the API key
 	Queue      string `json:"queue,omitempty"`      // "default" if empty
 	Submission string `json:"submission,omitempty"` // idempotency key of the submission
 	Tasks      int    `json:"tasks"`                // number of tasks; 1 if 0
 	Size       Size   `json:"size"`                 // declared size of each task
-	RunMs      int64  `json:"runMs"`                // declared run time; 0 is allowed for a service only
-	Idempotent bool   `json:"idempotent"`           // a task can run again after an attempt that may have run
-	Retries    int    `json:"retries"`              // retries after failures of the task itself
+	RunMs      int64  `json:"runMs"`                // declared run time; may be 0 only for a service
+	Idempotent bool   `json:"idempotent"`           // a task may run more than once
+	Retries    int    `json:"retries"`              // maximum number of retries after failures of an idempotent task; ignored for a service
 	Az         string `json:"az,omitempty"`         // requested availability zone; empty for any
 	Payload    string `json:"payload,omitempty"`    // passed to the worker; opaque to the scheduler
 }
@@ -139,7 +139,7 @@
 	return s
 }
 
-// WithSubmission returns the spec with the given submission id.
+// WithSubmission returns the spec with the given idempotency key.
 func (s Spec) WithSubmission(id string) Spec {
 	s.Submission = id
 	return s
@@ -195,8 +195,8 @@
 	return nil
 }
 
-// CheckName returns an error unless v is a short name of letters, digits and
-// "-_.".
+// CheckName returns an error unless v consists of 1 to MaxNameBytes letters, digits
+// and characters of "-_.".
 func CheckName(field, v string) error {
 	if v == "" || len(v) > MaxNameBytes {
 		return fault.Field(field, v, "must have 1 to %d bytes", MaxNameBytes)
--- a/internal/cell/jobs/size.go
+++ b/internal/cell/jobs/size.go
@@ -6,7 +6,7 @@
 )
 
 // Unlimited is the value of a dimension without a limit. It is small enough
-// that the sum of thousands of them does not overflow.
+// that the sum of 32,767 of them does not overflow.
 const Unlimited = int64(1) << 48
 
 // Size is an amount of each resource. Its methods return new values.
@@ -31,7 +31,7 @@
 	return Size{CPU: s.CPU * n, Mem: s.Mem * n, Accel: s.Accel * n}
 }
 
-// Scaled returns s*num/den, rounded down in each dimension.
+// Scaled returns s*num/den, rounded down, but at most s, in each dimension.
 func (s Size) Scaled(num, den Size) Size {
 	return Size{
 		CPU:   scale(s.CPU, num.CPU, den.CPU),
--- a/internal/cell/jobs/task.go
+++ b/internal/cell/jobs/task.go
@@ -3,7 +3,7 @@
 // State is the state of a task.
 type State string
 
-// The states of a task. A Parked task leaves its state only when an operator
+// The states of a task. A Parked task leaves this state only when an operator
 // settles it or its job is cancelled. Done, Failed and Cancelled are final.
 const (
 	Waiting   State = "waiting"
@@ -17,10 +17,10 @@
 // Final reports whether s is a final state.
 func (s State) Final() bool { return s == Done || s == Failed || s == Cancelled }
 
-// How is the way in which an attempt ended.
+// How tells how an attempt ended.
 type How string
 
-// The ways in which an attempt ends.
+// Values of How.
 const (
 	EndOK           How = "ok"
 	EndFailed       How = "failed"       // the task itself failed
@@ -47,21 +47,21 @@
 	Attempt    int    `json:"attempt"` // number of the latest attempt, counted from 1; 0 before the first
 	Group      string `json:"group,omitempty"`
 	Worker     string `json:"worker,omitempty"`
-	Boot       int64  `json:"boot,omitempty"` // the worker's boot id when it was selected
+	Boot       int64  `json:"boot,omitempty"` // the worker's boot id at the time of its selection
 	StartMs    int64  `json:"startMs,omitempty"`
-	EndMs      int64  `json:"endMs,omitempty"`
+	EndMs      int64  `json:"endMs,omitempty"` // end of the latest attempt, or a later cancellation or decision
 	Failures   int    `json:"failures,omitempty"`
 	Result     string `json:"result,omitempty"`
 	Checkpoint string `json:"checkpoint,omitempty"`
 	Cancelling bool   `json:"cancelling,omitempty"`
-	Reason     string `json:"reason,omitempty"` // why the task was parked, failed, settled or cancelled while parked
+	Reason     string `json:"reason,omitempty"` // why the task was parked or failed, or what ended its parking
 }
 
 // Site identifies the worker selected for an attempt.
 type Site struct {
 	Group  string // group of the worker
 	Worker string
-	Boot   int64 // the worker's boot id when it was selected
+	Boot   int64 // the worker's boot id at the time of its selection
 }
 
 // WithStart returns the task after recording the intent to run its next attempt
@@ -109,6 +109,7 @@
 	case EndStopped:
 		return t.afterInterruption(spec, "was interrupted without a checkpoint")
 	}
+	// EndLost
 	return t.afterInterruption(spec, "may have finished on a worker that was lost")
 }
 
@@ -153,14 +154,14 @@
 // Action is an operator's decision about a parked task.
 type Action string
 
-// The actions that settle a parked task.
+// Values of Action.
 const (
 	SettleDone   Action = "done"
 	SettleFailed Action = "failed"
 	SettleRerun  Action = "rerun"
 )
 
-// Actions lists all actions.
+// Actions lists all values of Action.
 var Actions = []Action{SettleDone, SettleFailed, SettleRerun}
 
 // WithSettled returns the task after an operator's decision. A task that is not
