--- a/internal/cell/config/config.go
+++ b/internal/cell/config/config.go
@@ -1,6 +1,7 @@
-// Package config implements the configuration of a cell: the teams' customer
-// plans and allow lists, the API keys, the availability zones that are out of
-// service, and the division of each team's limit among the groups.
+// Package config implements the configuration of a cell, the set of groups that
+// share one log. It consists of the teams' customer plans and allow lists, the API
+// keys, the availability zones that are out of service, and the division of each
+// team's limit among the groups.
 //
 // The configuration is a replicated state machine over the records of the log
 // stream "cell". Every entry host applies the same records in the same order and
@@ -13,8 +14,9 @@
 // offset is accepted and the others are rejected when they are applied. An edit
 // with a known id is ignored.
 //
-// Deciding on the entry host that receives the edit was rejected: it would need
-// a lock that outlives the host, or a consensus group.
+// An alternative is that the entry host that receives an edit decides whether it
+// is accepted. It was rejected because it needs a lock that outlives the host, or a
+// consensus group.
 //
 // # Usage
 //
@@ -52,7 +54,7 @@
 type Plan struct {
 	Team    string    `json:"team"`
 	Share   int64     `json:"share"` // weight in fair sharing
-	Limit   jobs.Size `json:"limit"` // upper limit of running work in the whole fleet
+	Limit   jobs.Size `json:"limit"` // upper limit of running work in the whole fleet; 0 allows none
 	Version Version   `json:"version"`
 	Deleted bool      `json:"deleted,omitempty"`
 }
@@ -123,9 +125,9 @@
 type Result struct {
 	Edit     string  `json:"edit"`
 	Accepted bool    `json:"accepted"`
-	Offset   int64   `json:"offset"`
+	Offset   int64   `json:"offset"`           // offset of the edit
 	Version  Version `json:"version"`          // version of the object after the edit
-	Winner   string  `json:"winner,omitempty"` // on a conflict: operator of the last accepted edit
+	Winner   string  `json:"winner,omitempty"` // if not accepted: operator of the object's last accepted edit
 }
 
 // State is the configuration at one offset. It is immutable: With returns a new
@@ -170,8 +172,8 @@
 }
 
 // TeamOfKey returns the team of a key in the form "id.secret". The error code is
-// NoKey for an unknown key, and Denied for a withdrawn one or a team without a
-// plan.
+// NoKey for an unknown key or a wrong secret, and Denied for a withdrawn key or a
+// team without a plan.
 func (s *State) TeamOfKey(key string) (team string, err error) {
 	id, secret, _ := strings.Cut(key, ".")
 	k, ok := s.Keys[id]
@@ -228,7 +230,7 @@
 	return 0
 }
 
-// Machine is the state machine of the stream "cell". State can be called
+// Machine is the replicated state machine of the stream "cell". State can be called
 // concurrently with the other methods.
 type Machine struct {
 	state atomic.Pointer[State]
--- a/internal/cell/config/config_test.go
+++ b/internal/cell/config/config_test.go
@@ -12,9 +12,9 @@
 	"lagooncourse/internal/cell/jobs"
 )
 
-// naive is a reference model of the configuration. It is rebuilt from all records
-// and shares no maps between states.
-type naive struct {
+// referenceModel is a simple implementation of the configuration. It is rebuilt
+// from all records and shares no maps between states.
+type referenceModel struct {
 	version map[string]Version // object -> version
 	value   map[string]string  // object -> content as text
 	results map[string]Result
@@ -24,8 +24,8 @@
 	fences  map[string]Fence
 }
 
-func rebuild(records []Record) naive {
-	n := naive{
+func rebuild(records []Record) referenceModel {
+	n := referenceModel{
 		version: map[string]Version{}, value: map[string]string{}, results: map[string]Result{}, authors: map[string]string{},
 		limit: map[string]int64{}, grants: map[string]map[string]int64{}, fences: map[string]Fence{},
 	}
@@ -40,7 +40,7 @@
 	return n
 }
 
-func (n naive) edit(offset int64, e Edit) {
+func (n referenceModel) edit(offset int64, e Edit) {
 	if _, ok := n.results[e.ID]; ok {
 		return
 	}
@@ -65,7 +65,7 @@
 	}
 }
 
-func (n naive) grant(g Grants) {
+func (n referenceModel) grant(g Grants) {
 	f := n.fences[g.Group]
 	if g.Fence.Epoch < f.Epoch || g.Fence.Epoch == f.Epoch && g.Fence.Seq <= f.Seq {
 		return
@@ -88,7 +88,8 @@
 	}
 }
 
-// valueOf returns the content of an object in s in the form that naive uses.
+// valueOf returns the content of an object in s in the form that referenceModel
+// uses.
 func valueOf(s *State, kind, name string) string {
 	switch kind {
 	case "plan":
@@ -141,9 +142,9 @@
 	return Record{Edit: &e}
 }
 
-// TestAgainstNaive compares the state with the reference model after every
+// TestAgainstReferenceModel compares the state with the reference model after every
 // record. It checks that ceilings never exceed a team's limit.
-func TestAgainstNaive(t *testing.T) {
+func TestAgainstReferenceModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := NewMachine()
 		var records []Record
@@ -172,7 +173,7 @@
 	return n
 }
 
-func compare(t *rapid.T, s *State, n naive) {
+func compare(t *rapid.T, s *State, n referenceModel) {
 	for _, name := range names {
 		for _, kind := range []string{"plan", "key", "az"} {
 			o := kind + "/" + name
--- a/internal/cell/config/edit.go
+++ b/internal/cell/config/edit.go
@@ -12,7 +12,7 @@
 // Kind is the operation of an edit.
 type Kind string
 
-// The operations.
+// Values of Kind.
 const (
 	SetPlan     Kind = "setPlan"
 	DeletePlan  Kind = "deletePlan"
@@ -36,7 +36,7 @@
 	Limit  jobs.Size `json:"limit,omitzero"`   // for SetPlan
 	Items  []string  `json:"items,omitempty"`  // for AddAllow and RemoveAllow
 	Team   string    `json:"team,omitempty"`   // for GiveKey
-	Secret string    `json:"secret,omitempty"` // for GiveKey: the secret's HashSecret value
+	Secret string    `json:"secret,omitempty"` // for GiveKey: hash of the key's secret, as returned by HashSecret
 }
 
 // Object returns the name of the object that the edit changes, such as
@@ -55,8 +55,8 @@
 
 // Limits of an edit.
 const (
-	MaxShare = 1_000_000
-	MaxItems = 1000 // items of one edit
+	MaxShare = 1_000_000 // highest weight of a team
+	MaxItems = 1000      // items of one edit
 )
 
 // itemKinds lists the valid kinds of allow list items.
@@ -131,64 +131,64 @@
 
 // With returns the state after applying the record at the given offset.
 func (s *State) With(offset int64, rec Record) *State {
-	n := *s
-	n.Offset = offset
+	next := *s
+	next.Offset = offset
 	switch {
 	case rec.Edit != nil:
-		n.applyEdit(offset, *rec.Edit)
+		next.applyEdit(offset, *rec.Edit)
 	case rec.Grants != nil:
-		n.applyGrants(*rec.Grants)
+		next.applyGrants(*rec.Grants)
 	}
-	return &n
+	return &next
 }
 
-// applyEdit applies an edit to n, a new copy whose maps are shared with older
-// states and must not be modified in place.
-func (n *State) applyEdit(offset int64, e Edit) {
-	if _, seen := n.Results[e.ID]; seen {
+// applyEdit applies an edit to s, a copy of the previous state. The copy shares its
+// maps with that state, so they are cloned before a change.
+func (s *State) applyEdit(offset int64, e Edit) {
+	if _, seen := s.Results[e.ID]; seen {
 		return
 	}
 	object := e.Object()
-	r := Result{Edit: e.ID, Offset: offset, Version: n.VersionOf(object)}
+	r := Result{Edit: e.ID, Offset: offset, Version: s.VersionOf(object)}
 	if e.Check() == nil && r.Version == e.Base {
 		r.Accepted, r.Version = true, Version(offset+1)
-		n.applyAccepted(e, r.Version)
-		n.Authors = cloneAndSet(n.Authors, object, e.By)
+		s.applyAccepted(e, r.Version)
+		s.Authors = cloneAndSet(s.Authors, object, e.By)
 	} else {
-		r.Winner = n.Authors[object]
+		r.Winner = s.Authors[object]
 	}
-	n.addResult(r)
+	s.addResult(r)
 }
 
-func (n *State) applyAccepted(e Edit, v Version) {
+func (s *State) applyAccepted(e Edit, v Version) {
 	switch e.Kind {
 	case SetPlan:
-		n.Plans = cloneAndSet(n.Plans, e.Name, Plan{Team: e.Name, Share: e.Share, Limit: e.Limit, Version: v})
+		s.Plans = cloneAndSet(s.Plans, e.Name, Plan{Team: e.Name, Share: e.Share, Limit: e.Limit, Version: v})
 	case DeletePlan:
-		n.Plans = cloneAndSet(n.Plans, e.Name, Plan{Team: e.Name, Version: v, Deleted: true})
+		s.Plans = cloneAndSet(s.Plans, e.Name, Plan{Team: e.Name, Version: v, Deleted: true})
 	case AddAllow, RemoveAllow:
-		a := n.Allows[e.Name].WithItems(e.Items, e.Kind == RemoveAllow)
+		a := s.Allows[e.Name].WithItems(e.Items, e.Kind == RemoveAllow)
 		a.Team, a.Version = e.Name, v
-		n.Allows = cloneAndSet(n.Allows, e.Name, a)
+		s.Allows = cloneAndSet(s.Allows, e.Name, a)
 	case GiveKey:
-		n.Keys = cloneAndSet(n.Keys, e.Name, Key{ID: e.Name, Team: e.Team, Hash: e.Secret, Version: v})
+		s.Keys = cloneAndSet(s.Keys, e.Name, Key{ID: e.Name, Team: e.Team, Hash: e.Secret, Version: v})
 	case WithdrawKey:
-		k := n.Keys[e.Name]
+		k := s.Keys[e.Name]
 		k.ID, k.Withdrawn, k.Version = e.Name, true, v
-		n.Keys = cloneAndSet(n.Keys, e.Name, k)
+		s.Keys = cloneAndSet(s.Keys, e.Name, k)
 	case AzOut, AzBack:
-		n.Azs = cloneAndSet(n.Azs, e.Name, Az{Name: e.Name, Out: e.Kind == AzOut, Version: v})
+		s.Azs = cloneAndSet(s.Azs, e.Name, Az{Name: e.Name, Out: e.Kind == AzOut, Version: v})
 	}
 }
 
 // addResult stores r and drops the oldest result beyond maxResults.
-func (n *State) addResult(r Result) {
-	n.Results = maps.Clone(n.Results)
-	n.Results[r.Edit] = r
-	recent := append(append(make([]string, 0, len(n.Recent)+1), n.Recent...), r.Edit)
+func (s *State) addResult(r Result) {
+	s.Results = maps.Clone(s.Results)
+	s.Results[r.Edit] = r
+	recent := append(append(make([]string, 0, len(s.Recent)+1), s.Recent...), r.Edit)
 	if len(recent) > maxResults {
-		delete(n.Results, recent[0])
+		delete(s.Results, recent[0])
 		recent = recent[1:]
 	}
-	n.Recent = recent
+	s.Recent = recent
 }
--- a/internal/cell/config/grant.go
+++ b/internal/cell/config/grant.go
@@ -6,11 +6,13 @@
 	"lagooncourse/internal/cell/jobs"
 )
 
-// Grants sets the parts of teams' limits that are assigned to one group.
+// Grants is the record that sets the parts of teams' limits that are assigned to
+// one group.
 //
 // A grant belongs to a group, not to a process: after a takeover the new owner
 // has the grant together with the group's record of the work that runs under it.
-// Three rules keep the sum of all groups' ceilings within the team's limit:
+// Three rules keep the sum of all groups' limits (see Ceiling) within the team's
+// limit:
 //
 //   - An increase is ignored if the sum of the grants would exceed the limit.
 //   - An owner stops using capacity before it appends a record that returns it.
@@ -18,8 +20,8 @@
 //     one. After a takeover the new owner first appends a record with a higher
 //     fence, so that late appends of the previous owner have no effect.
 //
-// If a limit is lowered below the sum of the grants, the Ceiling of every group
-// shrinks in proportion at once, without new grant records.
+// If a limit is lowered below the sum of the grants, Ceiling at once returns
+// proportionally less for every group, without new grant records.
 type Grants struct {
 	Group string
 	Fence Fence
@@ -30,28 +32,30 @@
 	return f.Epoch < o.Epoch || f.Epoch == o.Epoch && f.Seq < o.Seq
 }
 
-func (n *State) applyGrants(g Grants) {
-	if !n.Fences[g.Group].less(g.Fence) {
+func (s *State) applyGrants(g Grants) {
+	if !s.Fences[g.Group].less(g.Fence) {
 		return
 	}
-	n.Fences = cloneAndSet(n.Fences, g.Group, g.Fence)
+	s.Fences = cloneAndSet(s.Fences, g.Group, g.Fence)
 	for _, item := range g.Items {
-		n.applyGrant(g.Group, item)
+		s.applyGrant(g.Group, item)
 	}
 }
 
-func (n *State) applyGrant(group string, item Grant) {
-	held := n.Grants[item.Team][group]
+// applyGrant applies one item. It ignores the whole item if its amount does not fit
+// in a dimension that it increases.
+func (s *State) applyGrant(group string, item Grant) {
+	current := s.Grants[item.Team][group]
 	if item.Amount.CPU < 0 || item.Amount.Mem < 0 || item.Amount.Accel < 0 {
 		return
 	}
-	if !item.Amount.Fits(held) {
-		sum := n.Granted(item.Team).Minus(held).Plus(item.Amount)
-		if !increaseFits(held, item.Amount, sum, n.Limit(item.Team)) {
+	if !item.Amount.Fits(current) {
+		sum := s.Granted(item.Team).Minus(current).Plus(item.Amount)
+		if !increaseFits(current, item.Amount, sum, s.Limit(item.Team)) {
 			return
 		}
 	}
-	byGroup := maps.Clone(n.Grants[item.Team])
+	byGroup := maps.Clone(s.Grants[item.Team])
 	if byGroup == nil {
 		byGroup = map[string]jobs.Size{}
 	}
@@ -60,15 +64,15 @@
 	} else {
 		byGroup[group] = item.Amount
 	}
-	n.Grants = cloneAndSet(n.Grants, item.Team, byGroup)
+	s.Grants = cloneAndSet(s.Grants, item.Team, byGroup)
 }
 
 // increaseFits reports whether sum is within the limit in every dimension in which
-// amount is larger than held.
-func increaseFits(held, amount, sum, limit jobs.Size) bool {
-	return (amount.CPU <= held.CPU || sum.CPU <= limit.CPU) &&
-		(amount.Mem <= held.Mem || sum.Mem <= limit.Mem) &&
-		(amount.Accel <= held.Accel || sum.Accel <= limit.Accel)
+// amount is larger than current.
+func increaseFits(current, amount, sum, limit jobs.Size) bool {
+	return (amount.CPU <= current.CPU || sum.CPU <= limit.CPU) &&
+		(amount.Mem <= current.Mem || sum.Mem <= limit.Mem) &&
+		(amount.Accel <= current.Accel || sum.Accel <= limit.Accel)
 }
 
 // Granted returns the sum of the team's grants.
@@ -89,10 +93,10 @@
 // Ceiling returns the limit of the team's running work in the group: the group's
 // grant, scaled down if the sum of the grants exceeds the team's limit.
 func (s *State) Ceiling(team, group string) jobs.Size {
-	held, ok := s.Grants[team][group]
+	granted, ok := s.Grants[team][group]
 	if !ok {
 		return jobs.Size{}
 	}
 	limit, sum := s.Limit(team), s.Granted(team)
-	return held.Scaled(limit, sum)
+	return granted.Scaled(limit, sum)
 }
