--- a/internal/cell/trust/trust.go
+++ b/internal/cell/trust/trust.go
@@ -1,16 +1,19 @@
-// Package trust detects workers on which every task fails and quarantines them.
+// Package trust detects faulty workers, on which every task fails, and quarantines
+// them.
 //
 // A faulty worker that fails tasks quickly always has free capacity, so the
 // scheduler keeps placing tasks on it. A single failure is not sufficient
 // evidence, because a faulty job fails on every worker. A worker is quarantined
-// when several different jobs have failed on it in a row while most recent
-// attempts on the group's other workers succeeded. After the quarantine it is
-// probed with one idempotent task at a time: a success ends the quarantine, and a
-// failure starts a new one of twice the length.
+// when several different jobs have failed on it in a row while more than half of
+// the recent attempts on other trusted workers succeeded. After the quarantine it
+// is probed with one task at a time; the caller decides which tasks can be probes.
+// A failed probe starts a quarantine of twice the length, up to MaxQuarantineMs. Any
+// success, also of an attempt that started before the quarantine, makes the worker
+// trusted again.
 //
-// Comparing each failed attempt with the task's next attempt on another worker
-// was rejected: it has to wait for that attempt, and meanwhile hundreds of tasks
-// fail on the faulty worker.
+// An alternative is to compare each failed attempt with the task's next attempt on
+// another worker. It was rejected because it has to wait for that attempt, and
+// meanwhile hundreds of tasks fail on the faulty worker.
 //
 // # Usage
 //
@@ -39,11 +42,11 @@
 // State is the state of a worker. It restricts what may be placed on it.
 type State uint8
 
-// The states.
+// Values of State.
 const (
 	Trusted     State = iota // all tasks
 	Quarantined              // no tasks
-	Probing                  // one idempotent task at a time
+	Probing                  // one task at a time
 )
 
 // String returns the state's name.
@@ -58,7 +61,7 @@
 	AtMs   int64
 }
 
-// Trust tracks the states of one group's workers. It is not safe for concurrent
+// Trust tracks the states of one owner's workers. It is not safe for concurrent
 // use.
 type Trust struct {
 	cfg     Config
@@ -69,7 +72,7 @@
 
 // workerRecord is the evidence and the quarantine of one worker.
 type workerRecord struct {
-	failed       map[string]bool // jobs that failed since the last success
+	failed       map[string]bool // jobs that failed on the worker since its last success
 	quarantineMs int64           // length of the current quarantine; 0 if trusted
 	untilMs      int64           // end of the current quarantine
 }
@@ -128,8 +131,9 @@
 	t.next = (t.next + 1) % maxRecentEnds
 }
 
-// othersSucceed reports whether most recent ends on other trusted workers were
-// successes. It returns false if there are fewer than minOtherEnds of them.
+// othersSucceed reports whether more than half of the recent ends on other trusted
+// workers were successes. It returns false if there are fewer than minOtherEnds of
+// them.
 func (t *Trust) othersSucceed(worker string) bool {
 	good, all := 0, 0
 	for _, e := range t.recent {
@@ -156,8 +160,8 @@
 	return Probing
 }
 
-// Distrusted returns the ids of the workers that are not trusted, in no particular
-// order.
+// Distrusted returns the ids of the quarantined and probing workers, in no
+// particular order.
 func (t *Trust) Distrusted() []string {
 	var list []string
 	for id, r := range t.workers {
