--- a/internal/cell/config/config_test.go
+++ b/internal/cell/config/config_test.go
@@ -143,7 +143,7 @@
 }
 
 // TestAgainstReferenceModel compares the state with the reference model after every
-// record. It checks that ceilings never exceed a team's limit.
+// record. It checks that the sum of a team's ceilings never exceeds its limit.
 func TestAgainstReferenceModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := NewMachine()
--- a/internal/cell/config/grant.go
+++ b/internal/cell/config/grant.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// applyGrant applies one item. It ignores the whole item if its amount does not fit
-// in a dimension that it increases.
+// applyGrant applies one item. It ignores the whole item if a dimension is negative,
+// or is increased beyond what the team's limit allows.
 func (s *State) applyGrant(group string, item Grant) {
 	current := s.Grants[item.Team][group]
 	if item.Amount.CPU < 0 || item.Amount.Mem < 0 || item.Amount.Accel < 0 {
