--- a/internal/cell/group/group.go
+++ b/internal/cell/group/group.go
@@ -172,7 +172,7 @@
 // been applied, and whether this answer is final. It is not final while the batch
 // may still arrive. Both results are false if the answer is not known: after two or
 // more later claims, and for an epoch that has not begun.
-func (s *State) Verdict(epoch, seq uint64) (applied, settled bool) {
+func (s *State) Verdict(epoch, seq uint64) (applied, final bool) {
 	switch {
 	case epoch == s.Epoch:
 		return seq <= s.Seq, seq <= s.Seq || s.Owner.Host == ""
--- a/internal/cell/group/group_test.go
+++ b/internal/cell/group/group_test.go
@@ -157,11 +157,11 @@
 			if b.Epoch == mine.Epoch && b.Seq == mine.Seq && b.Claim == nil {
 				applied = applied || ok
 			}
-			got, settled := s.Verdict(mine.Epoch, mine.Seq)
-			if settled && got {
+			got, final := s.Verdict(mine.Epoch, mine.Seq)
+			if final && got {
 				assert.Assert(t, mine.Seq == 0 || applied || mine.Epoch < s.Epoch || mine.Seq <= s.Seq)
 			}
-			if settled && !got {
+			if final && !got {
 				late := restart(t, s)
 				assert.Assert(t, !late.ApplyBatch(mine), "batch %+v was reported as never applied, but was applied", mine)
 				assert.Assert(t, !applied)
