--- a/internal/cell/sched/advice.go
+++ b/internal/cell/sched/advice.go
@@ -1,35 +1,36 @@
 package sched
 
-// grant is the answer of the advice service about a worker and a step. Whether
-// the worker is allowed does not change, but its ticket expires.
-type grant struct {
+// adviceAnswer is the answer of the advice service about a worker and a step.
+// Whether the worker is allowed does not change, but its ticket expires.
+type adviceAnswer struct {
 	allowed     bool
 	ticket      string
-	untilMs     int64
+	untilMs     int64 // end of the ticket's validity
 	incarnation int64 // worker incarnation for which the ticket is valid
 }
 
 // adviceState holds the advice received for a step instance.
 type adviceState struct {
-	grants        map[string]grant // by worker
-	requested     int              // requests without a reply
-	nextRequestMs int64            // no further request before this time
+	answers       map[string]adviceAnswer // by worker
+	openRequests  int                     // requests without a reply
+	nextRequestMs int64                   // no further request before this time
 }
 
-// allowedShare is a moving average of the share of workers that advice allows.
+// allowedShare is a moving average of the share of workers that advice allows. Its
+// first sample sets the value; all others have the weight allowedShareWeight.
 type allowedShare struct{ mean float64 }
 
-// Limits of advice requests.
+// Parameters of advice requests.
 const (
 	minAllowedShare     = 0.05 // limits the size of requests after a series of denials
 	initialAllowedShare = 0.4  // of a queue without replies
 	allowedShareWeight  = 0.1  // weight of a new sample in the moving average
 	requestMargin       = 1.3  // factor on the number of workers needed on average
-	minRequestWorkers   = 4    // smaller requests cost nearly as much, and often allow too few workers
+	minRequestWorkers   = 4    // smaller requests cost nearly as much, and their replies often allow too few workers
 	maxRequestWorkers   = 100  // limit of the advice service
 	requestRetryMs      = 100  // delay after a failed request
 	ticketMarginMs      = 80   // time for a start to arrive before its ticket expires
-	costlyBaseMs        = 200  // base cost from which a request takes as many workers as it may
+	costlyBaseMs        = 200  // BaseMs from which a request is costly: it asks about up to costlyMaxWorkers workers
 	costlyMaxWorkers    = 32   // workers in one costly request
 )
 
@@ -44,11 +45,11 @@
 
 // Desks are the hosts that can send advice requests. The service takes one
 // request at a time from each host. While no host is free, steps wait in the
-// planner, so the next free host serves the most urgent one.
+// planner, so the next free host serves the first one in order.
 type Desks interface {
 	// Idle reports whether any host is free.
 	Idle() bool
-	// Take claims a host for a request of the given cost. The host is released
+	// Take reserves a host for a request of the given cost. The host is released
 	// after the reply.
 	Take(costMs float64) (desk string, ok bool)
 }
@@ -60,22 +61,25 @@
 }
 
 // ticket returns the ticket for a start on the worker. ok is false if a ticket is
-// needed and no valid one is there.
+// needed and none is valid.
 func (p *Planner) ticket(w *Worker, si *stepInstance, now Instant) (ticket string, ok bool) {
 	if p.queue(si).Advice == nil {
 		return "", true
 	}
-	g := si.advice.grants[w.ID]
+	g := si.advice.answers[w.ID]
 	if !g.allowed || g.incarnation != w.Born || now.Ms > g.untilMs-ticketMarginMs {
 		return "", false
 	}
 	return g.ticket, true
 }
 
-// workersToAsk returns the workers for the next advice request, if any. If the
-// allowed workers have capacity for need tasks, or no other worker has any, the
-// request renews expired tickets. Otherwise it covers workers without advice:
-// those with capacity, fast ones first, or else a few without capacity.
+// workersToAsk returns the workers for the next advice request, if any. They are
+// the first of these that exist:
+//   - workers with capacity but without advice, fast ones first, if the allowed
+//     workers lack capacity for need tasks or have no expired ticket
+//   - allowed workers with expired tickets
+//   - a few workers without advice and without free capacity, if no allowed
+//     worker has capacity
 func (p *Planner) workersToAsk(si *stepInstance, need int, ix *index, now Instant) (ids []string) {
 	expired, unknown, full, have := p.adviceCandidates(si, need, ix, now)
 	switch {
@@ -95,10 +99,11 @@
 	slots int // tasks for which it has capacity
 }
 
-// adviceCandidates returns the allowed workers with capacity whose tickets have
-// expired, the workers without advice that have capacity, by slowdown class, a
-// few without advice and without capacity, and the number of tasks for which
-// the allowed workers have capacity.
+// adviceCandidates returns
+//   - expired: the allowed workers with capacity whose tickets have expired
+//   - unknown: the workers with capacity but without advice, by slowdown class
+//   - full: a few workers without advice and without free capacity
+//   - have: the number of tasks for which the allowed workers have capacity
 func (p *Planner) adviceCandidates(si *stepInstance, need int, ix *index, now Instant) (expired []string, unknown []candidate, full []string, have int) {
 	size := si.spec().demand()
 	var classes [slowdownClasses][]candidate
@@ -106,21 +111,21 @@
 		if lacksCPU(w, size) && len(full) >= minRequestWorkers {
 			break
 		}
-		requested, ok := p.mayRun(si, w, now)
+		advised, ok := p.mayRun(si, w, now)
 		if !ok {
 			continue
 		}
 		n := p.slotsFor(si, w, need, now)
 		switch {
-		case requested && n > 0:
+		case advised && n > 0:
 			have += n
 			if _, ok := p.ticket(w, si, now); !ok {
 				expired = append(expired, w.ID)
 			}
-		case !requested && n > 0:
+		case !advised && n > 0:
 			class := p.estimator.slowdownClass(w.ID)
 			classes[class] = append(classes[class], candidate{w.ID, n})
-		case !requested && len(full) < minRequestWorkers && slots(w.Capacity, size, 1) > 0:
+		case !advised && len(full) < minRequestWorkers && slots(w.Capacity, size, 1) > 0:
 			full = append(full, w.ID)
 		}
 	}
@@ -156,22 +161,22 @@
 }
 
 // Advised handles the reply to a request; ok is false if the request failed.
-// Workers without a ticket are denied. The tickets expire ValidMs after issued,
-// a monotonic time in ms.
-func (p *Planner) Advised(w Want, tickets map[string]string, ok bool, issued int64, now Instant) {
+// Workers without a ticket are denied. The tickets expire ValidMs after issuedMs,
+// a monotonic time.
+func (p *Planner) Advised(w Want, tickets map[string]string, ok bool, issuedMs int64, now Instant) {
 	si := p.steps[w.StepKey]
 	if si == nil {
 		return
 	}
-	si.advice.requested = max(si.advice.requested-1, 0)
-	si.retryMs, si.failedTries = 0, 0
+	si.advice.openRequests = max(si.advice.openRequests-1, 0)
+	si.retryAtMs, si.failedTries = 0, 0
 	si.advice.nextRequestMs = now.Ms + requestRetryMs
 	q := p.queue(si)
 	if !ok || q.Advice == nil {
 		return
 	}
-	if si.advice.grants == nil {
-		si.advice.grants = map[string]grant{}
+	if si.advice.answers == nil {
+		si.advice.answers = map[string]adviceAnswer{}
 	}
 	for _, id := range w.Workers {
 		wk := p.workers[id]
@@ -179,7 +184,7 @@
 			continue
 		}
 		t, allowed := tickets[id]
-		si.advice.grants[id] = grant{allowed: allowed, ticket: t, untilMs: issued + q.Advice.ValidMs, incarnation: wk.Born}
+		si.advice.answers[id] = adviceAnswer{allowed: allowed, ticket: t, untilMs: issuedMs + q.Advice.ValidMs, incarnation: wk.Born}
 	}
 	si.advice.nextRequestMs = now.Ms
 	p.recordShare(q.Name, float64(len(tickets))/float64(max(len(w.Workers), 1)))
--- a/internal/cell/sched/batch.go
+++ b/internal/cell/sched/batch.go
@@ -3,15 +3,16 @@
 // Batch is a set of records to append, with the changes that Stored makes after
 // the append.
 type Batch struct {
-	Keys       []string
-	Values     [][]byte
-	Accepted   []string // IDs of the accepted jobs
-	Complete   bool     // it contains all pending records
-	verdicts   map[string]Verdict
-	appliedSeq map[string]endMark // by worker
+	Keys     []string
+	Values   [][]byte
+	Accepted []string // IDs of the accepted jobs
+	Complete bool     // it contains all pending records
+	verdicts map[string]Verdict
+	endMarks map[string]endMark // by worker
 }
 
-// endMark is the number of the last end applied in an incarnation of a worker.
+// endMark is the sequence number of the last end that was applied, and the worker
+// incarnation that it belongs to.
 type endMark struct {
 	incarnation int64
 	seq         int64
@@ -20,11 +21,12 @@
 // Empty reports whether the batch has no records.
 func (b *Batch) Empty() bool { return len(b.Keys) == 0 }
 
-// maxBatchBytes is the size from which a batch takes no more records. The store
-// takes 2 MB a call.
+// A batch that has reached maxBatchBytes takes no more records. The store accepts
+// up to 2 MB a call.
 const maxBatchBytes = 1 << 20
 
-// Dirty reports whether progress or accepted jobs have to be stored.
+// Dirty reports whether progress or accepted jobs have to be stored. It ignores
+// jobs whose retention has ended.
 func (p *Planner) Dirty() bool {
 	return len(p.dirty) > 0 || len(p.newSpecs) > 0
 }
@@ -32,7 +34,7 @@
 // TakeDirty returns a batch of the records that have to be stored: accepted jobs,
 // then progress, then deletions of jobs whose retention has ended.
 func (p *Planner) TakeDirty(now Instant) (*Batch, error) {
-	b := &Batch{verdicts: map[string]Verdict{}, appliedSeq: map[string]endMark{}}
+	b := &Batch{verdicts: map[string]Verdict{}, endMarks: map[string]endMark{}}
 	size := 0
 	add := func(key string, value []byte, err error) error {
 		if err != nil {
@@ -71,7 +73,7 @@
 		id := p.ended[0].id
 		p.ended = p.ended[1:]
 		for _, key := range DropKeys(id) {
-			_ = add(key, nil, nil)
+			_ = add(key, nil, nil) // a record without a value deletes its key
 		}
 		delete(p.state.Jobs, id)
 		delete(p.storedVerdicts, id)
@@ -79,7 +81,7 @@
 	}
 	for id, w := range p.workers {
 		if w.appliedSeq > w.storedSeq {
-			b.appliedSeq[id] = endMark{w.Born, w.appliedSeq}
+			b.endMarks[id] = endMark{w.Born, w.appliedSeq}
 		}
 	}
 	b.Complete = true
@@ -94,15 +96,15 @@
 	for id, v := range b.verdicts {
 		p.storedVerdicts[id] = v
 	}
-	for id, m := range b.appliedSeq {
+	for id, m := range b.endMarks {
 		if w := p.workers[id]; w != nil && w.Born == m.incarnation {
 			w.storedSeq = max(w.storedSeq, m.seq)
 		}
 	}
 }
 
-// Seen returns the number of the last stored end of a worker. The worker may
-// delete its ends up to that number.
+// Seen returns the sequence number of the last stored end of a worker. The worker
+// may delete its ends up to that number.
 func (p *Planner) Seen(id string) int64 {
 	if w := p.workers[id]; w != nil {
 		return w.storedSeq
--- a/internal/cell/sched/index.go
+++ b/internal/cell/sched/index.go
@@ -10,7 +10,7 @@
 )
 
 // index lists the available workers of a pool in descending order of free CPU.
-// It is built once a plan, so that step instances that fit nowhere or need few
+// It is built once in each plan, so that step instances that fit nowhere or need few
 // workers do not iterate over all workers. Allocations made during the plan only
 // reduce the free CPU, so the order gives upper bounds and callers check the
 // capacity again.
@@ -56,17 +56,17 @@
 	return ix.byExpected
 }
 
-// available reports whether a worker accepts new tasks, capacity aside.
+// available reports whether a worker can take starts of any task, capacity aside.
 func (p *Planner) available(w *Worker, now Instant) bool {
 	return w.registered && w.listed && w.reachable && !w.Draining && now.Ms >= w.backoffUntilMs && !p.view.Closed[w.Az] &&
 		p.trust.State(w.ID, now.Ms) != trust.Quarantined
 }
 
-// suits reports whether a worker of the step's pool has the label that the step
-// needs and is not reserved for another step instance.
+// suits reports whether w, an available worker of the step's pool, has the label
+// that the step needs and is not reserved for another step instance.
 func (p *Planner) suits(w *Worker, si *stepInstance, now Instant) bool {
 	s := si.spec()
-	return (s.Needs == "" || w.hasLabel(s.Needs)) && !w.reservedFrom(si, p.queue(si).Priority, now)
+	return (s.Needs == "" || w.hasLabel(s.Needs)) && !w.reservedForOther(si, p.queue(si).Priority, now)
 }
 
 // lacksCPU reports whether a worker, and so all workers after it in the index,
--- a/internal/cell/sched/late.go
+++ b/internal/cell/sched/late.go
@@ -5,8 +5,8 @@
 	"sort"
 )
 
-// Late explains why a step instance is still waiting. Unusable to NoTicket count
-// the workers that are ruled out for each reason.
+// Late explains why a step instance is still waiting. The fields Unusable to
+// NoTicket count the workers that are ruled out, by reason.
 type Late struct {
 	Step      string
 	WaitMs    int64
@@ -22,18 +22,18 @@
 	Kept      int  // workers reserved for this gang
 }
 
-// Late explains up to most step instances that have been ready for longer than
-// afterMs, the oldest first.
-func (p *Planner) Late(afterMs int64, most int, now Instant) []Late {
+// Late explains up to limit step instances that have been ready for longer than
+// minWaitMs, the oldest first.
+func (p *Planner) Late(minWaitMs int64, limit int, now Instant) []Late {
 	var list []*stepInstance
 	for _, si := range p.waiting {
-		if now.Ms-si.readyMs > afterMs && p.occurrenceDue(si, now) {
+		if now.Ms-si.readyMs > minWaitMs && p.occurrenceDue(si, now) {
 			list = append(list, si)
 		}
 	}
 	sort.Slice(list, func(a, b int) bool { return list[a].readyMs < list[b].readyMs })
 	var out []Late
-	for _, si := range list[:min(most, len(list))] {
+	for _, si := range list[:min(limit, len(list))] {
 		out = append(out, p.explain(si, now))
 	}
 	return out
@@ -42,23 +42,23 @@
 // explain counts, for a step instance, the workers by the reason that rules them
 // out.
 func (p *Planner) explain(si *stepInstance, now Instant) Late {
-	_, idle := countTasks(si.tasks())
-	e := Late{Step: si.stepName(), WaitMs: now.Ms - si.readyMs, Idle: idle, Asked: si.advice.requested > 0}
-	e.OverLimit = len(p.withinLimit(si, make([]int, idle))) < idle
-	advised := p.queue(si).Advice != nil
+	_, waiting := countTasks(si.tasks())
+	e := Late{Step: si.stepName(), WaitMs: now.Ms - si.readyMs, Idle: waiting, Asked: si.advice.openRequests > 0}
+	e.OverLimit = len(p.withinLimit(si, make([]int, waiting))) < waiting
+	needsAdvice := p.queue(si).Advice != nil
 	for id, w := range p.workers {
 		if w.reservedFor(si.key(), now) {
 			e.Kept++
 		}
-		g, requested := si.advice.grants[id]
-		n := p.slotsFor(si, w, idle, now)
+		g, advised := si.advice.answers[id]
+		n := p.slotsFor(si, w, waiting, now)
 		_, ticket := p.ticket(w, si, now)
 		switch {
 		case !p.usable(w, si, now):
 			e.Unusable++
-		case advised && !requested:
+		case needsAdvice && !advised:
 			e.Unasked++
-		case advised && !g.allowed:
+		case needsAdvice && !g.allowed:
 			e.Denied++
 		case n == 0:
 			e.NoRoom++
@@ -84,8 +84,8 @@
 			for i, t := range j.stepTasks(occ, step) {
 				ref := Ref{id, occ, step, i}
 				out += fmt.Sprintf("\n%s state %d run %d fails %d worker %q", ref, t.State, t.Run, t.Failures, t.Worker)
-				if w := p.workers[t.Worker]; w != nil && w.runs[ref] != nil {
-					a := w.runs[ref]
+				if w := p.workers[t.Worker]; w != nil && w.allocations[ref] != nil {
+					a := w.allocations[ref]
 					out += fmt.Sprintf(" allocated run %d phase %d stopping %v", a.run, a.phase, a.stopping)
 				}
 			}
--- a/internal/cell/sched/learn.go
+++ b/internal/cell/sched/learn.go
@@ -13,8 +13,8 @@
 	samples int
 }
 
-// minSampleWeight is the least weight of a new sample. The first samples weigh
-// more.
+// minSampleWeight is the minimum weight of a new sample. The first samples have a
+// higher weight.
 const minSampleWeight = 0.1
 
 func (m *mean) add(x float64) {
@@ -22,10 +22,11 @@
 	m.value += max(minSampleWeight, 1/float64(m.samples)) * (x - m.value)
 }
 
-// minSamples is the number of samples from which a mean is used.
+// A mean is used only after minSamples samples.
 const minSamples = 3
 
-// imageKey identifies tasks with similar run times.
+// imageKey identifies the tasks of one queue with the same image. Tasks without an
+// image share one key.
 type imageKey struct {
 	queue string
 	image string
@@ -34,8 +35,8 @@
 // queueStats holds the run time statistics of a queue.
 type queueStats struct {
 	factor   mean // run time divided by the declared estimate
-	estError mean // log error of the declared estimate times the factor
-	imgError mean // log error of the image's mean
+	estError mean // mean of |log(run time / (declared estimate * factor))|
+	imgError mean // mean of |log(run time / mean run time of the image)|
 }
 
 // estimator estimates run times and the slowdown of workers.
@@ -59,7 +60,8 @@
 	return q
 }
 
-// runMs estimates the run time of a task of the step, in ms.
+// runMs estimates the run time of a task of the step, in ms. An error without
+// samples counts as 0, so the image's mean is used until imgError has a sample.
 func (e estimator) runMs(queue string, s Step) int64 {
 	byEstimate, byImage := e.estimates(queue, s)
 	q := e.stats(queue)
@@ -115,7 +117,8 @@
 	e.images[key].add(took)
 }
 
-// slowdownClasses is the number of slowdown classes.
+// slowdownClasses is the number of slowdown classes. A higher class means slower
+// runs.
 const slowdownClasses = 4
 
 // slowdownClass returns the slowdown class of a worker, from 0 for normal speed to
--- a/internal/cell/sched/load_test.go
+++ b/internal/cell/sched/load_test.go
@@ -62,7 +62,7 @@
 	}
 	var running []run
 	ends := map[string]int64{}
-	seen := map[string]int64{}
+	lastEnd := map[string]int64{}
 	const stepMs, seconds = 5, 20
 	for tick := range seconds * 1000 / stepMs {
 		now.Ms, now.Wall = now.Ms+stepMs, now.Wall+stepMs
@@ -72,17 +72,17 @@
 				p.Accept(spec, now)
 			}
 		}
-		rest := running[:0]
+		unfinished := running[:0]
 		for _, r := range running {
 			if r.endMs > now.Ms {
-				rest = append(rest, r)
+				unfinished = append(unfinished, r)
 				continue
 			}
-			seen[r.start.Worker]++
-			p.Listed(r.start.Worker, Lists{SentMs: 0, Born: 1, Finished: []Finished{{N: seen[r.start.Worker], Task: r.start.Ref.String(), Run: r.start.Run, How: EndDone}}}, now)
+			lastEnd[r.start.Worker]++
+			p.Listed(r.start.Worker, Lists{SentMs: 0, Born: 1, Finished: []Finished{{N: lastEnd[r.start.Worker], Task: r.start.Ref.String(), Run: r.start.Run, How: EndDone}}}, now)
 			ends[r.start.Ref.Job] = now.Wall
 		}
-		running = rest
+		running = unfinished
 		plan := p.Plan(noHosts{}, now)
 		b, err := p.TakeDirty(now)
 		assert.NilError(t, err)
@@ -98,6 +98,7 @@
 			continue
 		}
 		urgent++
+		// The deadline is Slack * EstimateMs + TargetMs after the submission.
 		if end, ok := ends[id]; ok && end-j.Spec.AtMs <= 2*800+250 {
 			inTime++
 		}
@@ -156,7 +157,7 @@
 type allHosts struct{}
 
 func (allHosts) Idle() bool                  { return true }
-func (allHosts) Take(float64) (string, bool) { return "d", true }
+func (allHosts) Take(float64) (string, bool) { return "host", true }
 
 // backlog returns a planner with n waiting jobs of each kind: gangs, wide steps
 // and urgent jobs.
--- a/internal/cell/sched/order.go
+++ b/internal/cell/sched/order.go
@@ -7,19 +7,19 @@
 
 // rank is the first sort key of waiting step instances. Those that can meet their
 // deadline come first, then late ones, then those in excess of their team's rate,
-// and last those that are too late to be of use. Ordered by age alone, a backlog
-// would make all jobs late and would not drain.
+// and last those whose result would be of no use. If step instances were ordered
+// by age alone, a backlog would make all jobs late and would not drain.
 type rank uint8
 
 const (
 	rankOnTime  rank = iota // can meet its deadline
-	rankLate                // will miss its deadline, but end within lateFactor
+	rankLate                // misses its deadline, but ends before its result is of no use; see lateFactor
 	rankExcess              // submitted in excess of its team's rate
-	rankExpired             // too late to be of use
+	rankExpired             // ends when its result is of no use any more; see lateFactor
 )
 
-// lateFactor times the time from the due time of a job to its deadline is the
-// time after which its result is of no use.
+// The result of a job is of no use after lateFactor times the interval from its
+// due time to its deadline, counted from the due time.
 const lateFactor = 3
 
 // rankedStep is a step instance with its sort keys.
@@ -53,14 +53,14 @@
 	return k.step < o.step
 }
 
-// rankedStep computes the sort keys of a step instance and stores its rank.
-func (p *Planner) rankedStep(si *stepInstance, now Instant) rankedStep {
+// rankStep computes the sort keys of a step instance and stores its rank.
+func (p *Planner) rankStep(si *stepInstance, now Instant) rankedStep {
 	q := p.queue(si)
 	s := rankedStep{si: si, priority: q.Priority, deadlineMs: si.deadlineMs}
-	end := now.Wall + p.remaining(si)
-	late := si.dueMs + lateFactor*(si.deadlineMs-si.dueMs)
+	end := now.Wall + p.remainingMs(si)
+	uselessAfterMs := si.dueMs + lateFactor*(si.deadlineMs-si.dueMs)
 	switch {
-	case end > late:
+	case end > uselessAfterMs:
 		s.rank = rankExpired
 	case si.job.Spec.Excess:
 		s.rank = rankExcess
@@ -71,9 +71,9 @@
 	return s
 }
 
-// remaining estimates the total run time of a step and the steps that depend on
-// it, in ms.
-func (p *Planner) remaining(si *stepInstance) int64 {
+// remainingMs estimates the run time of a step and all steps that depend on it, as
+// if they ran one after another, in ms.
+func (p *Planner) remainingMs(si *stepInstance) int64 {
 	var ms int64
 	for i := si.step; i < len(si.job.Spec.Steps); i++ {
 		if i == si.step || dependsOn(si.job.Spec.Steps, i, si.step) {
@@ -83,10 +83,11 @@
 	return ms
 }
 
-// dependsOn reports whether step i depends on step on, directly or indirectly.
-func dependsOn(steps []Step, i, on int) bool {
+// dependsOn reports whether step i depends on step target, directly or
+// indirectly. Steps depend only on steps before them.
+func dependsOn(steps []Step, i, target int) bool {
 	for _, d := range steps[i].After {
-		if d == on || d > on && dependsOn(steps, d, on) {
+		if d == target || d > target && dependsOn(steps, d, target) {
 			return true
 		}
 	}
@@ -107,18 +108,18 @@
 	return x
 }
 
-// firstSteps returns the first n waiting step instances, in order. It skips
-// those whose retry is not due, so that many step instances without capacity at the front
-// do not starve the ones behind them.
+// firstSteps returns the first n waiting step instances, in order. It skips those
+// whose next try is not due, so that step instances that do not fit do not starve
+// the ones after them. It also delays the next try of expired ones.
 func (p *Planner) firstSteps(n int, now Instant) []*stepInstance {
 	h := make(rankHeap, 0, min(n, len(p.waiting)))
 	for _, si := range p.waiting {
-		if now.Ms < si.retryMs || !p.occurrenceDue(si, now) {
+		if now.Ms < si.retryAtMs || !p.occurrenceDue(si, now) {
 			continue
 		}
-		s := p.rankedStep(si, now)
+		s := p.rankStep(si, now)
 		if s.rank == rankExpired {
-			si.retryMs = now.Ms + expiredRetryMs
+			si.retryAtMs = now.Ms + expiredRetryDelayMs
 		}
 		if len(h) < n {
 			heap.Push(&h, s)
@@ -137,7 +138,7 @@
 	return list
 }
 
-// tokenBucket limits the rate of a team's jobs to its weight, in jobs a second.
+// tokenBucket measures whether a team submits more jobs a second than its weight.
 type tokenBucket struct {
 	tokens float64
 	atMs   int64
@@ -148,16 +149,16 @@
 
 // exceedsRate takes a token of the team and reports whether there was none.
 func (p *Planner) exceedsRate(team string, now Instant) bool {
-	weight := float64(p.view.Teams[team].Weight)
-	if weight <= 0 {
+	rate := float64(p.view.Teams[team].Weight)
+	if rate <= 0 {
 		return false
 	}
 	b := p.buckets[team]
 	if b == nil {
-		b = &tokenBucket{tokens: weight * bucketSeconds, atMs: now.Ms}
+		b = &tokenBucket{tokens: rate * bucketSeconds, atMs: now.Ms}
 		p.buckets[team] = b
 	}
-	b.tokens = min(b.tokens+weight*float64(now.Ms-b.atMs)/1000, weight*bucketSeconds)
+	b.tokens = min(b.tokens+rate*float64(now.Ms-b.atMs)/1000, rate*bucketSeconds)
 	b.atMs = now.Ms
 	if b.tokens < 1 {
 		return true
--- a/internal/cell/sched/place.go
+++ b/internal/cell/sched/place.go
@@ -10,15 +10,15 @@
 // Start is an order to a worker to run a task. It may be sent once Release has
 // returned it.
 type Start struct {
-	Worker       string
-	Addr         string
-	Born         int64 // incarnation of the worker
-	Ref          Ref
-	Run          int
-	Payload      string
-	Saved        string // checkpoint to resume from
-	Ticket       string // from the advice service
-	stepInstance stepKey
+	Worker  string
+	Addr    string
+	Born    int64 // incarnation of the worker
+	Ref     Ref
+	Run     int
+	Payload string
+	Saved   string // checkpoint to resume from
+	Ticket  string // from the advice service
+	stepKey stepKey
 }
 
 // Plan is the result of one planning round.
@@ -27,22 +27,22 @@
 	Wants  []Want  // to be sent to the advice service
 
 	hosts           Desks
-	noHostFree      bool              // no host is free for a request during this plan
-	reservedCounted bool              // reserved has been computed
-	reserved        int               // number of workers reserved for gangs
+	noHostFree      bool              // hostFree has found no free host in this plan
+	reservedCounted bool              // the number of reserved workers has been computed
+	reservedWorkers int               // number of workers reserved for gangs
 	indexes         map[string]*index // by worker pool
 }
 
-// maxPlanStarts limits the starts of one plan, so that their intents fit into one
-// append.
+// Plan places no further step instance after maxPlanStarts starts, which limits
+// the size of the records with their intents.
 const maxPlanStarts = 200
 
-// maxPlanSteps limits the step instances that one plan tries to place, which
-// bounds its cost for a long backlog.
+// maxPlanSteps is the number of step instances that one plan tries to place. It
+// limits the CPU cost of a plan when the backlog is long.
 const maxPlanSteps = 160
 
-// Plan places waiting tasks in the order of their rank. A task for which no
-// worker has capacity does not block the ones after it.
+// Plan places waiting tasks in the order of rankedStep.before. A task for which
+// no worker has capacity does not block the ones after it.
 func (p *Planner) Plan(hosts Desks, now Instant) Plan {
 	plan := Plan{hosts: hosts}
 	for _, si := range p.firstSteps(maxPlanSteps, now) {
@@ -61,95 +61,96 @@
 }
 
 // place starts as many tasks of a step instance as fit, and requests advice for
-// the others.
+// the others. A gang is started as a whole or not at all.
 func (p *Planner) place(si *stepInstance, plan *Plan, now Instant) {
-	var idle []int
+	var waiting []int
 	for i, t := range si.tasks() {
 		if t.State == Waiting {
-			idle = append(idle, i)
+			waiting = append(waiting, i)
 		}
 	}
-	idle = p.withinLimit(si, idle)
-	if len(idle) == 0 {
+	waiting = p.withinLimit(si, waiting)
+	if len(waiting) == 0 {
 		p.retryLater(si, now)
 		return
 	}
-	placements := p.placements(si, len(idle), plan, now)
-	if si.spec().Gang && len(placements) < len(idle) {
-		p.prepareGang(si, len(idle), plan, now)
+	chosen := p.chooseWorkers(si, len(waiting), plan, now)
+	if si.spec().Gang && len(chosen) < len(waiting) {
+		p.prepareGang(si, len(waiting), plan, now)
 		return
 	}
-	if len(placements) == 0 {
-		p.requestAdvice(si, len(idle), plan, now)
+	if len(chosen) == 0 {
+		p.requestAdvice(si, len(waiting), plan, now)
 		return
 	}
 	run := 0
 	if si.spec().Gang {
 		run = gangRun(si.tasks())
 	}
-	for n, w := range placements {
-		p.start(si, idle[n], run, w, plan, now)
+	for i, w := range chosen {
+		p.start(si, waiting[i], run, w, plan, now)
 	}
-	if len(placements) < len(idle) {
-		p.requestAdvice(si, len(idle)-len(placements), plan, now)
+	if len(chosen) < len(waiting) {
+		p.requestAdvice(si, len(waiting)-len(chosen), plan, now)
 		return
 	}
-	p.refresh(si.job, now)
+	p.updateJob(si.job, now) // updates p.waiting
 }
 
-// Retry delays of step instances that could not be placed. They are short in
-// queues of priority 0 while the deadline can be met, since other steps take the
-// capacity that is missed. They grow after some failed tries, to limit the CPU
-// cost of a backlog.
+// Delays before the next try to place a step instance. They are shorter in queues
+// of priority 0 while the deadline can be met, because other steps would take the
+// capacity that becomes free in the meantime. After shortRetryCount failed tries
+// they are longer, which limits the CPU cost of a backlog.
 const (
-	urgentRetryMs     = 8
-	urgentLongRetryMs = 16
-	retryMs           = 40
-	longRetryMs       = 160
-	expiredRetryMs    = 250 // for rankExpired
-	shortRetries      = 4   // failed tries before the long delays apply
+	urgentRetryDelayMs     = 8
+	urgentLongRetryDelayMs = 16
+	retryDelayMs           = 40
+	longRetryDelayMs       = 160
+	expiredRetryDelayMs    = 250 // for rankExpired
+	shortRetryCount        = 4   // number of failed tries before the long delays apply
 )
 
 // retryLater delays the next try to place a step instance.
 func (p *Planner) retryLater(si *stepInstance, now Instant) {
 	si.failedTries++
-	urgent, longWait := p.queue(si).Priority == 0 && si.rank == rankOnTime, si.failedTries > shortRetries
-	ms := int64(retryMs)
+	highPriority, manyTries := p.queue(si).Priority == 0 && si.rank == rankOnTime, si.failedTries > shortRetryCount
+	ms := int64(retryDelayMs)
 	switch {
-	case urgent && longWait:
-		ms = urgentLongRetryMs
-	case urgent:
-		ms = urgentRetryMs
-	case longWait:
-		ms = longRetryMs
-	}
-	si.retryMs = max(si.retryMs, now.Ms+ms)
+	case highPriority && manyTries:
+		ms = urgentLongRetryDelayMs
+	case highPriority:
+		ms = urgentRetryDelayMs
+	case manyTries:
+		ms = longRetryDelayMs
+	}
+	si.retryAtMs = max(si.retryAtMs, now.Ms+ms)
 }
 
 // requestAdvice delays the next try and, if a host is free, requests advice about
-// workers for need more tasks of a step instance.
+// workers on which need more tasks of a step instance could run.
 func (p *Planner) requestAdvice(si *stepInstance, need int, plan *Plan, now Instant) {
 	p.retryLater(si, now)
 	q := p.queue(si)
-	if q.Advice == nil || si.advice.requested > 0 || now.Ms < si.advice.nextRequestMs || !plan.hostFree() {
+	if q.Advice == nil || si.advice.openRequests > 0 || now.Ms < si.advice.nextRequestMs || !plan.hostFree() {
 		return
 	}
 	ids := p.workersToAsk(si, need, p.indexOf(q.Service, plan, now), now)
 	if len(ids) == 0 {
 		return
 	}
-	if host, ok := plan.takeHost(q.Advice.cost(len(ids))); ok {
+	if host, ok := plan.takeHost(q.Advice.responseMs(len(ids))); ok {
 		p.addRequest(si, ids, host, plan)
 	}
 }
 
-// hostFree reports whether a host is free to send an advice request.
+// hostFree reports whether a host is free to send an advice request. Once none
+// was free, it returns false for the rest of the plan.
 func (plan *Plan) hostFree() bool {
 	plan.noHostFree = plan.noHostFree || !plan.hosts.Idle()
 	return !plan.noHostFree
 }
 
-// takeHost claims a host for an advice request.
+// takeHost reserves a host for an advice request.
 func (plan *Plan) takeHost(costMs float64) (host string, ok bool) {
 	if !plan.hostFree() {
 		return "", false
@@ -157,33 +158,33 @@
 	return plan.hosts.Take(costMs)
 }
 
-// addRequest adds an advice request that a claimed host is to send.
+// addRequest adds an advice request that the given host sends.
 func (p *Planner) addRequest(si *stepInstance, ids []string, host string, plan *Plan) {
-	si.advice.requested++
+	si.advice.openRequests++
 	plan.Wants = append(plan.Wants, Want{
-		StepKey: si.key(), Step: si.stepName(), Workers: ids, CostMs: p.queue(si).Advice.cost(len(ids)), Desk: host,
+		StepKey: si.key(), Step: si.stepName(), Workers: ids, CostMs: p.queue(si).Advice.responseMs(len(ids)), Desk: host,
 	})
 }
 
-// withinLimit returns the idle tasks that fit into the team's quota: for a gang,
+// withinLimit returns the waiting tasks that fit into the team's quota: for a gang,
 // all or none.
-func (p *Planner) withinLimit(si *stepInstance, idle []int) []int {
+func (p *Planner) withinLimit(si *stepInstance, waiting []int) []int {
 	spec := si.job.Spec
 	l, ok := p.view.Teams[spec.Team]
 	if !ok {
-		return idle
+		return waiting
 	}
 	size := si.spec().demand()
-	free := unlimited(l.Max).Minus(p.used[spec.Team])
-	n := slots(free, size, len(idle))
-	if si.spec().Gang && n < len(idle) {
+	free := zeroToUnlimited(l.Max).Minus(p.used[spec.Team])
+	n := slots(free, size, len(waiting))
+	if si.spec().Gang && n < len(waiting) {
 		return nil
 	}
-	return idle[:n]
+	return waiting[:n]
 }
 
-// unlimited sets the dimensions without a limit to jobs.Unlimited.
-func unlimited(s jobs.Size) jobs.Size {
+// zeroToUnlimited replaces dimensions that are 0 by jobs.Unlimited.
+func zeroToUnlimited(s jobs.Size) jobs.Size {
 	for _, d := range []*int64{&s.CPU, &s.Mem, &s.Accel} {
 		if *d == 0 {
 			*d = jobs.Unlimited
@@ -201,8 +202,8 @@
 	return run + 1
 }
 
-// placement is a worker that has capacity for tasks of a step instance.
-type placement struct {
+// placementOption is a worker on which tasks of a step instance can be placed.
+type placementOption struct {
 	w        *Worker
 	slots    int
 	remote   bool  // not in the rack that holds the data
@@ -211,26 +212,26 @@
 	freeCPU  int64 // free CPU after placing one task
 }
 
-// placements returns a worker for each of up to n tasks. It prefers workers
+// chooseWorkers chooses a worker for each of up to n tasks. It prefers workers
 // near the data, then unreserved ones, then fast ones, and then those with the
-// least free CPU, which leaves others free for wide tasks. A gang with SameRack
-// is placed in one rack if any rack has the capacity.
-func (p *Planner) placements(si *stepInstance, n int, plan *Plan, now Instant) []*Worker {
+// least free CPU, which keeps the others free for tasks that need much CPU. A
+// gang with SameRack is placed in one rack if any rack has the capacity.
+func (p *Planner) chooseWorkers(si *stepInstance, n int, plan *Plan, now Instant) []*Worker {
 	s := si.spec()
-	var list []placement
+	var list []placementOption
 	for _, w := range p.indexOf(p.queue(si).Service, plan, now).byFree {
 		if lacksCPU(w, s.demand()) {
 			break
 		}
-		if requested, ok := p.mayRun(si, w, now); !ok || !requested {
+		if advised, ok := p.mayRun(si, w, now); !ok || !advised {
 			continue
 		}
-		k := p.slotsFor(si, w, n, now)
-		if _, ok := p.ticket(w, si, now); !ok || k <= 0 {
+		free := p.slotsFor(si, w, n, now)
+		if _, ok := p.ticket(w, si, now); !ok || free <= 0 {
 			continue
 		}
-		list = append(list, placement{
-			w: w, slots: k, remote: s.Near != "" && w.Rack != s.Near, reserved: now.Ms < w.reserved.untilMs && w.reserved.stepInstance != si.key(),
+		list = append(list, placementOption{
+			w: w, slots: free, remote: s.Near != "" && w.Rack != s.Near, reserved: now.Ms < w.reservation.untilMs && w.reservation.stepKey != si.key(),
 			slowdown: p.estimator.slowdownClass(w.ID), freeCPU: w.free().CPU - s.Size.CPU,
 		})
 	}
@@ -264,9 +265,9 @@
 	return out
 }
 
-// oneRack returns the placements in the first rack that has capacity for n
+// oneRack returns the workers in the first rack that has capacity for n
 // tasks, or the whole list if no rack has.
-func oneRack(list []placement, n int) []placement {
+func oneRack(list []placementOption, n int) []placementOption {
 	sum := map[string]int{}
 	for _, c := range list {
 		sum[c.w.Rack] += c.slots
@@ -275,7 +276,7 @@
 		if sum[c.w.Rack] < n {
 			continue
 		}
-		var same []placement
+		var same []placementOption
 		for _, d := range list {
 			if d.w.Rack == c.w.Rack {
 				same = append(same, d)
@@ -289,18 +290,18 @@
 // slotsFor returns how many more tasks of a step instance the worker can take,
 // up to limit.
 func (p *Planner) slotsFor(si *stepInstance, w *Worker, limit int, now Instant) int {
-	if w.reservedFrom(si, p.queue(si).Priority, now) {
+	if w.reservedForOther(si, p.queue(si).Priority, now) {
 		return 0
 	}
-	limit = p.withinApart(si, w, limit)
+	limit = p.withinWorkerLimit(si, w, limit)
 	if p.trust.State(w.ID, now.Ms) == trust.Probing {
 		limit = min(limit, p.probeSlots(si, w))
 	}
 	return max(slots(w.free(), si.spec().demand(), limit), 0)
 }
 
-// withinApart applies the step's limit of tasks on one worker to n.
-func (p *Planner) withinApart(si *stepInstance, w *Worker, n int) int {
+// withinWorkerLimit applies the step's limit of tasks on one worker to n.
+func (p *Planner) withinWorkerLimit(si *stepInstance, w *Worker, n int) int {
 	if limit := si.spec().Apart; limit > 0 {
 		return min(n, limit-p.countOn(si, w))
 	}
@@ -310,7 +311,7 @@
 // countOn returns how many tasks of a step instance are allocated on the worker.
 func (p *Planner) countOn(si *stepInstance, w *Worker) int {
 	n := 0
-	for r := range w.runs {
+	for r := range w.allocations {
 		if r.Job == si.job.Spec.ID && r.Occ == si.occ && r.Step == si.step {
 			n++
 		}
@@ -324,7 +325,7 @@
 	if si.spec().Gang {
 		return 0
 	}
-	return 1 - len(w.runs)
+	return 1 - len(w.allocations)
 }
 
 // start allocates capacity for a task on a worker and adds its start to the
@@ -345,7 +346,7 @@
 	ticket, _ := p.ticket(w, si, now)
 	plan.Starts = append(plan.Starts, Start{
 		Worker: w.ID, Addr: w.Addr, Born: w.Born, Ref: ref, Run: run, Payload: si.job.Spec.Payload,
-		Saved: t.Saved, Ticket: ticket, stepInstance: si.key(),
+		Saved: t.Saved, Ticket: ticket, stepKey: si.key(),
 	})
 }
 
@@ -356,7 +357,7 @@
 	rejected := map[stepKey]bool{}
 	for _, s := range starts {
 		if !p.sendable(s, now) {
-			rejected[s.stepInstance] = true
+			rejected[s.stepKey] = true
 		}
 	}
 	for _, s := range starts {
@@ -365,8 +366,9 @@
 		if a == nil {
 			continue
 		}
-		si := p.steps[s.stepInstance]
-		if rejected[s.stepInstance] && (si == nil || si.spec().Gang || !p.sendable(s, now)) {
+		si := p.steps[s.stepKey]
+		// A rejected gang is withdrawn as a whole, another step only in part.
+		if rejected[s.stepKey] && (si == nil || si.spec().Gang || !p.sendable(s, now)) {
 			p.release(w, s.Ref)
 			p.requeue(s.Ref, s.Run, now)
 			continue
@@ -377,13 +379,13 @@
 	return send
 }
 
-// allocationOf returns the allocation of a start while its outcome is unknown, or
+// allocationOf returns the allocation of a start in phaseIntent or phaseSent, or
 // nil.
 func (p *Planner) allocationOf(w *Worker, s Start) *allocation {
 	if w == nil {
 		return nil
 	}
-	a := w.runs[s.Ref]
+	a := w.allocations[s.Ref]
 	if a == nil || a.run != s.Run || a.phase != phaseIntent && a.phase != phaseSent {
 		return nil
 	}
@@ -401,7 +403,7 @@
 // sendable reports whether a start can be sent: its step instance is open, its
 // worker usable and its ticket valid.
 func (p *Planner) sendable(s Start, now Instant) bool {
-	si, w := p.steps[s.stepInstance], p.workers[s.Worker]
+	si, w := p.steps[s.stepKey], p.workers[s.Worker]
 	if si == nil || w == nil || w.Born != s.Born || p.allocationOf(w, s) == nil || !p.usable(w, si, now) {
 		return false
 	}
@@ -409,8 +411,8 @@
 	return ok
 }
 
-// requeue returns a task to state Waiting after its run was settled without a
-// result.
+// requeue returns a placed task to state Waiting after the allocation of its run
+// was released without a reported end.
 func (p *Planner) requeue(r Ref, run int, now Instant) {
 	j := p.state.Jobs[r.Job]
 	if j == nil {
@@ -422,5 +424,5 @@
 	}
 	t.State = Waiting
 	p.dirty[r.Job] = true
-	p.refresh(j, now)
+	p.updateJob(j, now)
 }
--- a/internal/cell/sched/planner.go
+++ b/internal/cell/sched/planner.go
@@ -1,6 +1,7 @@
 // Package sched places the tasks of accepted jobs on workers. It keeps the
 // accepted jobs, allocates worker capacity, orders the waiting steps, and
-// derives the next state of each job from the reports of the workers.
+// derives the next state of each job from the reports of the workers. A run is
+// one attempt to execute a task; its number counts from 1.
 //
 // A Planner belongs to the single owner of the job topic. It has no clock, no
 // sockets and no goroutines: its callers pass in the time and all replies, and
@@ -10,13 +11,14 @@
 //     records name every run that can exist when another owner takes over.
 //   - Capacity is allocated before the intent is stored. It is released only
 //     when the run has ended or can no longer exist: the start was not sent, or
-//     the worker lists the end, refuses the start, omits the run from a list
-//     requested after a confirmed stop, restarts, or loses its lease.
-//   - A task gets a new run only after its previous run has been settled.
+//     the worker lists the end, refuses the start, restarts, loses its lease, or
+//     omits the run from a list requested after a confirmed stop or a takeover.
+//   - A task gets a new run only after its previous run has ended or can no
+//     longer exist.
 //
-// Starting a run before its intent is stored would save one append. But after
-// a takeover, the new owner would have to hold back every waiting task as long
-// as one worker does not answer.
+// Sending a start before its intent is stored would save one append. But after
+// a takeover, the records would not name all runs, so the new owner could start
+// no waiting task until every worker has listed its runs or lost its lease.
 //
 // # Usage
 //
@@ -37,19 +39,21 @@
 	"lagooncourse/internal/cell/trust"
 )
 
-// Instant is a point in time on both clocks.
+// Instant is a point in time on both clocks. Other points in time with the
+// suffix Ms are on the monotonic clock unless their comment says "since 1970".
 type Instant struct {
 	Ms   int64 // monotonic clock of the process, in ms
 	Wall int64 // wall clock, in ms since 1970
 }
 
-// Limit is the quota and the weight of a team.
+// Limit is the quota and the job rate of a team.
 type Limit struct {
 	Max    jobs.Size // 0 in a dimension means no limit
 	Weight int64     // jobs a second; 0 means no limit
 }
 
-// View is the current configuration, including the changes made by operators.
+// View holds the queues, team limits and closed zones, including the changes
+// made by operators.
 type View struct {
 	Queues map[string]Queue
 	Teams  map[string]Limit
@@ -60,15 +64,15 @@
 type Config struct {
 	State      *State
 	SilenceMs  int64 // how long after a claim the previous owner may still renew leases
-	LeaseMs    int64 // lease that a renewal asks for
+	LeaseMs    int64 // duration of the lease that a renewal requests
 	LeaseMaxMs int64 // longest lease that a worker grants
 	KeepMs     int64 // how long an ended job is retained
 }
 
-// Limits of lease expiry.
+// Margins added to the duration of a lease.
 const (
-	clockDrift    = 0.03 // 2% for a slow worker clock and 1% for the clock of this process
-	leaseMarginMs = 300  // delay between the sending of a call and its effect
+	maxClockDrift = 0.03 // maximum relative drift: 2% of a worker's clock plus 1% of this process's clock
+	leaseMarginMs = 300  // maximum delay between the sending of a call and its effect
 )
 
 // stepInstance is one step of one occurrence of an open job.
@@ -80,12 +84,12 @@
 	deadlineMs  int64 // when the job should have ended, in ms since 1970
 	readyMs     int64 // monotonic time at which it became ready to run
 	advice      adviceState
-	retryMs     int64 // no placement is tried before this time
+	retryAtMs   int64 // no placement is tried before this time
 	rank        rank  // result of the last ranking
 	failedTries int   // failed tries since the last start or advice
-	failedRun   int   // last run of a gang whose failure was counted
+	failedRun   int   // number of the latest gang run that was counted as a failure
 	queue       *Queue
-	viewVersion int // version of the configuration that queue is from
+	viewVersion int // configuration version from which the field queue was read
 }
 
 func (si *stepInstance) spec() Step    { return si.job.Spec.Steps[si.step] }
@@ -111,7 +115,7 @@
 	queues         map[string]*Queue
 	viewVersion    int // number of configurations set so far
 	workers        map[string]*Worker
-	used           map[string]jobs.Size // allocated, by team
+	used           map[string]jobs.Size // total allocated size, by team
 	steps          map[stepKey]*stepInstance
 	waiting        map[stepKey]*stepInstance // step instances with a task that is ready to be placed
 	dirty          map[string]bool           // jobs whose latest progress is not in a batch yet
@@ -147,6 +151,7 @@
 		p.adopt(j, now)
 		if j.Progress.Verdict != Open {
 			p.stopJob(j)
+			// EndMs is on the wall clock; convert it to the monotonic clock.
 			p.ended = append(p.ended, endedJob{id, now.Ms - max(now.Wall-j.Progress.EndMs, 0)})
 			continue
 		}
@@ -192,9 +197,9 @@
 // maxLeaseBound is leaseBound for the longest lease that a worker grants.
 func (p *Planner) maxLeaseBound() int64 { return elapsedBound(max(p.cfg.LeaseMaxMs, p.cfg.LeaseMs)) }
 
-// elapsedBound returns how long a lease of ms on a worker's clock may last on
-// the clock of this process.
-func elapsedBound(ms int64) int64 { return ms + int64(float64(ms)*clockDrift) + leaseMarginMs }
+// elapsedBound returns how long a lease of ms milliseconds on a worker's clock
+// may last on the clock of this process, including the margins.
+func elapsedBound(ms int64) int64 { return ms + int64(float64(ms)*maxClockDrift) + leaseMarginMs }
 
 func (p *Planner) allocate(w *Worker, a *allocation) {
 	w.allocate(a)
@@ -215,12 +220,12 @@
 			p.steps[si.key()] = si
 		}
 	}
-	p.refresh(j, now)
+	p.updateJob(j, now)
 }
 
-// refresh recomputes which step instances of an open job are ready, and ends
+// updateJob recomputes which step instances of an open job are waiting, and ends
 // the job if all its tasks are done or it was cancelled.
-func (p *Planner) refresh(j *Job, now Instant) {
+func (p *Planner) updateJob(j *Job, now Instant) {
 	if j.Progress.Verdict != Open {
 		return
 	}
@@ -231,13 +236,13 @@
 	allDone := true
 	for occ := range j.occurrences() {
 		for step, s := range j.Spec.Steps {
-			done, idle := countTasks(j.stepTasks(occ, step))
+			done, waiting := countTasks(j.stepTasks(occ, step))
 			if done == s.Count {
 				delete(p.waiting, stepKey{j.Spec.ID, occ, step})
 				continue
 			}
 			allDone = false
-			p.refreshStep(j, occ, step, idle, now)
+			p.updateStep(j, occ, step, waiting, now)
 		}
 	}
 	if allDone {
@@ -245,24 +250,24 @@
 	}
 }
 
-func countTasks(tasks []Task) (done, idle int) {
+func countTasks(tasks []Task) (done, waiting int) {
 	for _, t := range tasks {
 		switch t.State {
 		case Done:
 			done++
 		case Waiting:
-			idle++
+			waiting++
 		}
 	}
-	return done, idle
+	return done, waiting
 }
 
-// refreshStep marks a step instance as waiting if it is ready to be placed.
-func (p *Planner) refreshStep(j *Job, occ, step, idle int, now Instant) {
+// updateStep marks a step instance as waiting if it is ready to be placed.
+func (p *Planner) updateStep(j *Job, occ, step, waiting int, now Instant) {
 	key := stepKey{j.Spec.ID, occ, step}
 	si := p.steps[key]
 	s := j.Spec.Steps[step]
-	ready := idle > 0 && (!s.Gang || idle == s.Count)
+	ready := waiting > 0 && (!s.Gang || waiting == s.Count)
 	for _, d := range s.After {
 		done, _ := countTasks(j.stepTasks(occ, d))
 		ready = ready && done == j.Spec.Steps[d].Count
@@ -271,7 +276,7 @@
 		delete(p.waiting, key)
 		return
 	}
-	si.retryMs = 0 // one of its runs may have ended and released capacity
+	si.retryAtMs = 0 // try again at once: one of its runs may have released capacity
 	if p.waiting[key] == nil {
 		si.readyMs = now.Ms
 		p.setDeadline(si)
@@ -342,10 +347,10 @@
 	}
 }
 
-// stop requests a stop of a run. A start whose intent is not stored yet needs
-// none, because Release withdraws it.
+// stop requests a stop of a run. A start that Release has not returned yet needs
+// no stop, because Release withdraws it.
 func (p *Planner) stop(w *Worker, r Ref, run int) {
-	a := w.runs[r]
+	a := w.allocations[r]
 	if a != nil && a.run == run {
 		if a.stopping || a.phase == phaseIntent {
 			return
--- a/internal/cell/sched/report.go
+++ b/internal/cell/sched/report.go
@@ -13,7 +13,7 @@
 const (
 	StartUp       Outcome = iota // the worker has confirmed the run
 	StartRefused                 // refused without effect
-	StartNoTicket                // refused because of its ticket
+	StartNoTicket                // refused because its ticket is missing or not valid
 	StartNoRoom                  // refused for lack of capacity
 	StartOld                     // refused: a run with this or a higher number has ended there
 	StartUnknown                 // no reply; the run may still start
@@ -49,13 +49,13 @@
 		return
 	case StartUnknown:
 		p.stop(w, s.Ref, s.Run)
-		p.breakGang(s.Ref)
+		p.stopGang(s.Ref)
 		return
 	case StartNoTicket:
-		if si := p.steps[s.stepInstance]; si != nil {
-			g := si.advice.grants[s.Worker]
+		if si := p.steps[s.stepKey]; si != nil {
+			g := si.advice.answers[s.Worker]
 			g.untilMs = 0
-			si.advice.grants[s.Worker] = g
+			si.advice.answers[s.Worker] = g
 		}
 	case StartNoRoom:
 		w.backoffUntilMs = now.Ms + capacityBackoffMs
@@ -64,12 +64,12 @@
 	}
 	p.release(w, s.Ref)
 	p.requeue(s.Ref, s.Run, now)
-	p.breakGang(s.Ref)
+	p.stopGang(s.Ref)
 }
 
-// breakGang stops the placed members of a gang after a member has failed to
+// stopGang stops the placed members of a gang after a member has failed to
 // start or has ended without success. It ignores tasks that are not in a gang.
-func (p *Planner) breakGang(r Ref) {
+func (p *Planner) stopGang(r Ref) {
 	j := p.state.Jobs[r.Job]
 	if j == nil || !j.Spec.Steps[r.Step].Gang {
 		return
@@ -81,14 +81,15 @@
 	}
 }
 
-// StopDenied is called when a worker has confirmed a stop. A list requested
-// after now shows whether the run still exists.
+// StopDenied is called when a worker has accepted a stop, or has refused it
+// because the run is absent. A list requested after now shows whether the run
+// still exists.
 func (p *Planner) StopDenied(s Stop, now Instant) {
 	w := p.workers[s.Worker]
 	if w == nil {
 		return
 	}
-	if a := w.runs[s.Ref]; a != nil && a.run == s.Run && a.phase != phaseIntent {
+	if a := w.allocations[s.Ref]; a != nil && a.run == s.Run && a.phase != phaseIntent {
 		a.phase, a.phaseStartMs = phaseStopConfirmed, now.Ms
 	}
 }
@@ -104,7 +105,7 @@
 		p.newIncarnation(w, info.Born, now)
 	}
 	if info.Born < incarnation {
-		info.Born = incarnation
+		info.Born = incarnation // a late entry of an earlier incarnation
 	}
 	w.WorkerInfo = info
 	w.registered = true
@@ -117,12 +118,12 @@
 	}
 }
 
-// Targets returns the workers whose leases are to be renewed, by ID: those with
-// a registry entry and those with allocations.
+// Targets returns the workers whose leases are to be renewed, sorted by ID: those
+// with a registry entry and those with allocations.
 func (p *Planner) Targets() []WorkerInfo {
 	var list []WorkerInfo
 	for _, w := range p.workers {
-		if w.Addr != "" && (w.registered || len(w.runs) > 0) {
+		if w.Addr != "" && (w.registered || len(w.allocations) > 0) {
 			list = append(list, w.WorkerInfo)
 		}
 	}
@@ -130,16 +131,17 @@
 	return list
 }
 
-// Worker returns the registry entry of a worker that Targets would return.
+// Worker returns the registry entry of a worker that Targets would return, and
+// false for any other worker.
 func (p *Planner) Worker(id string) (WorkerInfo, bool) {
 	w := p.workers[id]
-	if w == nil || w.Addr == "" || !w.registered && len(w.runs) == 0 {
+	if w == nil || w.Addr == "" || !w.registered && len(w.allocations) == 0 {
 		return WorkerInfo{}, false
 	}
 	return w.WorkerInfo, true
 }
 
-// Applied returns the number of the last end of a worker that was applied.
+// Applied returns the sequence number of the last applied end of a worker.
 func (p *Planner) Applied(id string) int64 {
 	if w := p.workers[id]; w != nil {
 		return w.appliedSeq
@@ -149,7 +151,7 @@
 
 // newIncarnation handles a restart of a worker, which has ended all its runs.
 // Its clock has restarted too, so a renewal that was computed for the old clock
-// may have got the longest lease that the worker grants.
+// may have extended the lease to the longest that the worker grants.
 func (p *Planner) newIncarnation(w *Worker, incarnation int64, now Instant) {
 	w.leaseExpiryMs = max(w.leaseExpiryMs, now.Ms+p.maxLeaseBound())
 	w.Born, w.appliedSeq, w.storedSeq, w.listed = incarnation, 0, 0, false
@@ -159,13 +161,13 @@
 // loseRuns releases and requeues the runs that match, and reports whether there
 // were any.
 func (p *Planner) loseRuns(w *Worker, now Instant, match func(*allocation) bool) (lost bool) {
-	for ref, a := range w.runs {
+	for ref, a := range w.allocations {
 		if !match(a) {
 			continue
 		}
 		p.release(w, ref)
 		p.requeue(ref, a.run, now)
-		p.breakGang(ref)
+		p.stopGang(ref)
 		lost = true
 	}
 	return lost
@@ -190,24 +192,27 @@
 	return lostContact
 }
 
-// Tick requeues the runs of unreachable workers whose lease has expired. It
-// returns the workers that had such runs.
+// Tick requeues the runs of unreachable workers whose lease has expired, and
+// returns the workers that had such runs. It also removes unreachable workers
+// whose lease has expired and that have neither a registry entry nor runs.
 func (p *Planner) Tick(now Instant) (lost []string) {
 	for id, w := range p.workers {
 		if w.reachable || now.Ms < w.leaseExpiryMs {
 			continue
 		}
+		// Release withdraws starts that were not sent.
 		if p.loseRuns(w, now, func(a *allocation) bool { return a.phase != phaseIntent }) {
 			lost = append(lost, id)
 		}
-		if !w.registered && len(w.runs) == 0 {
+		if !w.registered && len(w.allocations) == 0 {
 			delete(p.workers, id)
 		}
 	}
 	return lost
 }
 
-// Lists is the reply of a worker to a call that was sent at SentMs.
+// Lists is the reply of a worker to a call that was sent at SentMs, a monotonic
+// time.
 type Lists struct {
 	SentMs   int64
 	Born     int64 // incarnation of the worker
@@ -218,7 +223,8 @@
 // maxFinished is the maximum number of ends in one reply.
 const maxFinished = 500
 
-// Listed handles the lists of a worker.
+// Listed applies the ends that a worker lists, and compares its active runs with
+// the allocations.
 func (p *Planner) Listed(id string, l Lists, now Instant) {
 	w := p.workers[id]
 	if w == nil {
@@ -234,6 +240,7 @@
 		if w.Born == 0 {
 			w.Born = l.Born
 		}
+		// Adopted runs of another incarnation ended with it.
 		p.loseRuns(w, now, func(a *allocation) bool {
 			return a.phase == phaseAdopted && p.incarnationOf(a) != 0 && p.incarnationOf(a) != l.Born
 		})
@@ -267,7 +274,8 @@
 
 // checkRunning compares the runs that a worker lists with its allocations. Runs
 // that are missing from the list are requeued if a stop was confirmed or they
-// were adopted, and stopped if the worker had confirmed their start.
+// were adopted. If the worker had confirmed their start, they are stopped first;
+// they are requeued when a list sent after the confirmed stop omits them too.
 func (p *Planner) checkRunning(w *Worker, l Lists, now Instant) {
 	listed := make(map[Ref]bool, len(l.Running))
 	for _, r := range l.Running {
@@ -281,7 +289,7 @@
 	if len(l.Finished) >= maxFinished {
 		return // the missing runs may have ends that do not fit into this reply
 	}
-	for ref, a := range w.runs {
+	for ref, a := range w.allocations {
 		if listed[ref] || a.phaseStartMs >= l.SentMs {
 			continue
 		}
@@ -289,7 +297,7 @@
 		case phaseAdopted, phaseStopConfirmed:
 			p.release(w, ref)
 			p.requeue(ref, a.run, now)
-			p.breakGang(ref)
+			p.stopGang(ref)
 		case phaseRunning:
 			p.stop(w, ref, a.run)
 		}
@@ -299,12 +307,14 @@
 // applyRunning handles one entry of the list of active runs. It stops runs that
 // have no allocation or whose job has ended.
 func (p *Planner) applyRunning(w *Worker, ref Ref, r Running) {
-	a := w.runs[ref]
+	a := w.allocations[ref]
 	if a == nil || a.run != r.Run {
 		p.stops = append(p.stops, Stop{Worker: w.ID, Ref: ref, Run: r.Run})
 		return
 	}
 	if a.phase == phaseAdopted {
+		// phaseStartMs stays the time of the takeover, so recordRun will count the
+		// run time from there.
 		a.phase = phaseRunning
 	}
 	j := p.state.Jobs[ref.Job]
@@ -314,7 +324,7 @@
 	}
 	j.Progress.Begun = true
 	if t := j.task(ref); t != nil && t.Run == r.Run && r.Saved != "" {
-		p.saveCheckpoint(j, ref, r.Saved)
+		p.saveCheckpoint(j, ref, r.Saved) // stored with the next progress record
 	}
 }
 
@@ -324,7 +334,7 @@
 	if !ok {
 		return
 	}
-	a := w.runs[ref]
+	a := w.allocations[ref]
 	if a != nil && a.run <= f.Run {
 		p.release(w, ref)
 	}
@@ -341,6 +351,8 @@
 	}
 	p.recordTrust(w, ref, f, now)
 	j.Progress.Begun = true
+	// Ignore the end if the task is done or has a newer run, or if the task was
+	// already requeued and the run did not succeed.
 	if t.State == Done || t.Run > f.Run || t.State == Waiting && f.How != EndDone {
 		return
 	}
@@ -348,8 +360,8 @@
 	if f.Saved != "" {
 		p.saveCheckpoint(j, ref, f.Saved)
 	}
-	p.settle(j, ref, t, f, now)
-	p.refresh(j, now)
+	p.updateTask(j, ref, t, f, now)
+	p.updateJob(j, now)
 }
 
 // recordTrust adds a success or failure to the trust record of a worker. Other
@@ -373,8 +385,8 @@
 	}
 }
 
-// settle updates the state of a task after the end of its latest run.
-func (p *Planner) settle(j *Job, ref Ref, t *Task, f Finished, now Instant) {
+// updateTask updates the state of a task after the end of its latest run.
+func (p *Planner) updateTask(j *Job, ref Ref, t *Task, f Finished, now Instant) {
 	s := j.Spec.Steps[ref.Step]
 	switch {
 	case f.How == EndDone && s.Lasts:
@@ -390,12 +402,13 @@
 		p.countFailure(j, ref, t, f, now)
 	default:
 		t.State = Waiting
-		p.breakGang(ref)
+		p.stopGang(ref)
 	}
 }
 
 // countFailure counts a failed run and fails the job when a task has used up its
-// attempts. A gang counts one failure for each of its runs.
+// attempts. Long-running tasks never fail their job. A gang counts one failure for
+// each of its runs, in its first task.
 func (p *Planner) countFailure(j *Job, ref Ref, t *Task, f Finished, now Instant) {
 	s := j.Spec.Steps[ref.Step]
 	t.State = Waiting
@@ -407,7 +420,7 @@
 			return
 		}
 		si.failedRun = f.Run
-		p.breakGang(ref)
+		p.stopGang(ref)
 	}
 	counted.Failures++
 	attempts := p.view.Queues[j.Spec.Queue].Attempts
--- a/internal/cell/sched/rules_test.go
+++ b/internal/cell/sched/rules_test.go
@@ -16,7 +16,42 @@
 )
 
 // script runs one file of testdata. Each line is a command; "->" is followed by
-// its expected output. Times are in milliseconds.
+// its expected output, and "#" by a comment. Times are in milliseconds.
+//
+// Commands that set up the planner or replace the owner:
+//
+//	queue NAME [prio=N] [attempts=N] [advice=BASE_MS]
+//	team NAME [cpu=N] [weight=N]
+//	close AZ
+//	worker ID cpu=N [az=] [rack=] [label=] [born=N] [draining=1] [unlisted=1]
+//	job ID queue=NAME [team=] [steps=N] [count=N] [cpu=N] [ms=N] [gang=1]
+//	    [apart=N] [needs=LABEL] [near=RACK] [lasts=1] [samerack=1]
+//	    [times=N first=MS every=MS]
+//	cancel JOB
+//	takeover
+//
+// Commands that advance time or the planner:
+//
+//	wait MS
+//	plan            returns starts TASK/RUN@WORKER and requests "ask STEP WORKERS"
+//	store           stores the records and returns the released starts
+//	tick            returns the workers whose runs were lost
+//
+// Replies of the advice service and of workers:
+//
+//	allow STEP WORKER...
+//	up, refused, unknown or noroom, each with TASK or "all"
+//	stop-confirmed WORKER TASK RUN
+//	unanswered WORKER
+//	renew WORKER    a renewal is sent
+//	list WORKER [born=N] [run:TASK:RUN] [end:N:TASK:RUN:HOW]
+//
+// Queries:
+//
+//	stops           requested stops
+//	status JOB
+//	pending QUEUE
+//	acked WORKER    sequence number of the last stored end
 type script struct {
 	t         *testing.T
 	p         *Planner
@@ -65,7 +100,7 @@
 
 func (s *script) Take(float64) (string, bool) {
 	s.freeHosts--
-	return "d", s.freeHosts >= 0
+	return "host", s.freeHosts >= 0
 }
 
 // newOwner starts a new owner from the stored records.
@@ -79,7 +114,8 @@
 	s.starts, s.requests = nil, nil
 }
 
-// args turns key=value fields into a map.
+// args turns key=value fields into a map. The scripts are trusted: args and num
+// report no syntax errors.
 func args(fields []string) map[string]string {
 	m := map[string]string{}
 	for _, f := range fields {
@@ -253,7 +289,7 @@
 		return fmt.Sprint(s.p.Pending(f[1]))
 	case "acked":
 		return fmt.Sprint(s.p.Seen(f[1]))
-	case "lost":
+	case "tick":
 		return strings.Join(s.p.Tick(s.now), " ")
 	default:
 		s.t.Fatalf("no command %q", f[0])
--- a/internal/cell/sched/state.go
+++ b/internal/cell/sched/state.go
@@ -14,7 +14,7 @@
 	claimKey       = "o"
 )
 
-// Job is a job as read from its records.
+// Job is an accepted job with its progress.
 type Job struct {
 	Spec     Spec
 	Progress Progress
@@ -28,14 +28,14 @@
 type State struct {
 	Jobs  map[string]*Job
 	Claim Claim
-	Next  int64 // offset of the next record to apply
+	Next  int64 // offset of the next record to apply; set by the caller
 
-	orphans map[string]Progress // progress records read before their spec
+	earlyProgress map[string]Progress // progress records that were applied before their spec, by job
 }
 
 // NewState returns the state of an empty topic.
 func NewState() *State {
-	return &State{Jobs: map[string]*Job{}, orphans: map[string]Progress{}}
+	return &State{Jobs: map[string]*Job{}, earlyProgress: map[string]Progress{}}
 }
 
 // newJob returns a job with all tasks waiting.
@@ -93,7 +93,7 @@
 func (s *State) applySpec(id string, value []byte) error {
 	if len(value) == 0 {
 		delete(s.Jobs, id)
-		delete(s.orphans, id)
+		delete(s.earlyProgress, id)
 		return nil
 	}
 	spec, err := frame.Decode[Spec](value)
@@ -104,10 +104,10 @@
 		return nil
 	}
 	j := newJob(spec)
-	if p, ok := s.orphans[id]; ok && len(p.Tasks) == len(j.Progress.Tasks) {
+	if p, ok := s.earlyProgress[id]; ok && len(p.Tasks) == len(j.Progress.Tasks) {
 		j.Progress = p
 	}
-	delete(s.orphans, id)
+	delete(s.earlyProgress, id)
 	s.Jobs[id] = j
 	return nil
 }
@@ -115,7 +115,8 @@
 func (s *State) applyProgress(id string, value []byte) error {
 	j := s.Jobs[id]
 	if len(value) == 0 {
-		delete(s.orphans, id)
+		// The job is removed when its spec record is deleted.
+		delete(s.earlyProgress, id)
 		return nil
 	}
 	p, err := frame.Decode[Progress](value)
@@ -123,7 +124,7 @@
 		return err
 	}
 	if j == nil {
-		s.orphans[id] = p
+		s.earlyProgress[id] = p
 		return nil
 	}
 	if len(p.Tasks) != len(j.Progress.Tasks) {
--- a/internal/cell/sched/status.go
+++ b/internal/cell/sched/status.go
@@ -42,8 +42,8 @@
 	return j.Spec, true
 }
 
-// Pending counts the accepted jobs of a queue without a run that a worker has
-// confirmed.
+// Pending counts the stored open jobs of a queue of which no worker has confirmed
+// a run.
 func (p *Planner) Pending(queue string) int {
 	n := 0
 	for id, j := range p.state.Jobs {
--- a/internal/cell/sched/types.go
+++ b/internal/cell/sched/types.go
@@ -17,13 +17,13 @@
 	SameRack   bool      // tasks run slower when spread over several racks
 	Needs      string    // label that a worker must have; empty for none
 	Near       string    // rack that holds the data; empty for none
-	Apart      int       // maximum tasks of one occurrence on one worker; 0 for no limit
-	Copies     bool      // several runs of one task may be active at once
+	Apart      int       // maximum tasks of this step, within one occurrence, on one worker; 0 for no limit
+	Copies     bool      // several runs of one task may be active at once; the planner starts only one
 	Lasts      bool      // tasks run until the job is cancelled
 	Image      string    // tasks of one image have similar run times
-	TargetMs   int64     // tail latency target of a long-running task
-	Fills      bool      // uses spare CPU: none is allocated for it
-	MayMiss    int       // long-running tasks that the scheduler may keep down at once
+	TargetMs   int64     // tail latency target of a long-running task; not used by the planner
+	Fills      bool      // runs on unallocated CPU: no CPU is allocated for it
+	MayMiss    int       // long-running tasks that may be stopped at the same time; not used by the planner
 }
 
 // Spec is an accepted job. It is immutable.
@@ -46,7 +46,7 @@
 // Task states. They are stored as numbers.
 const (
 	Waiting TaskState = iota
-	Placed            // the intent to run it is in the job's progress
+	Placed            // the intent to run it is recorded in the job's progress
 	Done
 	Failed
 )
@@ -61,7 +61,7 @@
 	Born     int64  // incarnation of that worker
 }
 
-// Verdict is the final state of a job, Open while it has none.
+// Verdict is the final state of a job, or Open if the job has not ended.
 type Verdict uint8
 
 // Verdicts. They are stored as numbers.
@@ -86,21 +86,21 @@
 type Claim struct {
 	Epoch int64
 	Host  string // name of the host
-	Addr  string // address for its peers
+	Addr  string // address at which other hosts reach it
 }
 
 // Queue is the configuration of a queue.
 type Queue struct {
 	Name      string
-	Host      string
-	Prefix    string
-	Service   string  // worker pool that runs its tasks
-	Open      bool    // no access key is required
-	Priority  int     // 0 is the highest
-	Attempts  int     // failed runs of one task after which its job fails
-	Slack     float64 // factor on the critical path of a job, for its deadline
-	TargetMs  int64   // added to the deadline of a job
-	TimeoutMs int64
+	Host      string      // host name of its requests
+	Prefix    string      // path prefix of its requests; the longest match applies
+	Service   string      // worker pool that runs its tasks
+	Open      bool        // no access key is required
+	Priority  int         // 0 is the highest
+	Attempts  int         // failed runs of one task after which its job fails
+	Slack     float64     // multiplies the run time of a job's critical path to get its deadline
+	TargetMs  int64       // added to the deadline of a job
+	TimeoutMs int64       // not used by the planner
 	Advice    *AdviceCost // nil if starts need no ticket
 }
 
@@ -112,8 +112,8 @@
 	ValidMs  int64   // validity of a ticket
 }
 
-// cost returns how long a request about n workers takes, in ms.
-func (a *AdviceCost) cost(n int) float64 { return a.BaseMs + a.WorkerMs*float64(n) }
+// responseMs returns how long a request about n workers takes, in ms.
+func (a *AdviceCost) responseMs(n int) float64 { return a.BaseMs + a.WorkerMs*float64(n) }
 
 // WorkerInfo is the registry entry of a worker.
 type WorkerInfo struct {
@@ -133,10 +133,10 @@
 	Task    string
 	Run     int
 	Saved   string
-	Percent int64
+	Percent int64 // progress as reported by the worker
 }
 
-// How is the reason for which a run ended.
+// How is the reason why a run ended.
 type How string
 
 // Reasons for the end of a run.
@@ -145,7 +145,7 @@
 	EndFailed  How = "failed"
 	EndStopped How = "stopped"
 	EndLapsed  How = "lapsed" // the lease of the worker expired
-	EndBroken  How = "broken" // another member of the gang ended
+	EndBroken  How = "broken" // another member of the gang ended without success
 	EndAlone   How = "alone"  // the other members of the gang did not start in time
 	EndLost    How = "lost"   // the worker disappeared
 )
@@ -160,7 +160,8 @@
 	Saved string
 }
 
-// Ref identifies a task by its job, occurrence, step and index.
+// Ref identifies a task by its job, occurrence, step and index. Unlike jobs.Ref,
+// it includes the occurrence and the step.
 type Ref struct {
 	Job   string
 	Occ   int
@@ -170,7 +171,7 @@
 
 // String returns the name of the task on the wire, JOB.OCC.STEP.INDEX.
 func (r Ref) String() string {
-	b := make([]byte, 0, len(r.Job)+12)
+	b := make([]byte, 0, len(r.Job)+12) // room for three short numbers and dots
 	b = append(b, r.Job...)
 	b = strconv.AppendInt(append(b, '.'), int64(r.Occ), 10)
 	b = strconv.AppendInt(append(b, '.'), int64(r.Step), 10)
--- a/internal/cell/sched/worker.go
+++ b/internal/cell/sched/worker.go
@@ -10,11 +10,11 @@
 type phase uint8
 
 const (
-	phaseIntent        phase = iota // the intent is not stored yet; nothing was sent
-	phaseSent                       // the start was released for sending
+	phaseIntent        phase = iota // Release has not returned the start yet; nothing was sent
+	phaseSent                       // Release has returned the start; it may have been sent
 	phaseRunning                    // the worker has confirmed the start or listed the run
-	phaseAdopted                    // placed by a previous owner and not listed yet
-	phaseStopConfirmed              // the worker has confirmed a stop; a later list settles the run
+	phaseAdopted                    // placed by a previous owner; the worker has not listed the run yet
+	phaseStopConfirmed              // the worker has confirmed a stop; a later list shows whether the run still exists
 )
 
 // allocation is the capacity of a worker that one run holds. The package
@@ -27,30 +27,30 @@
 	phase        phase
 	phaseStartMs int64 // start of the phase
 	stopping     bool  // a stop was requested
-	runMs        int64 // expected run time
-	endMs        int64 // expected end
+	runMs        int64 // expected run time, in ms
+	endMs        int64 // expected end, monotonic
 }
 
 // Worker is a worker with its allocations.
 type Worker struct {
 	WorkerInfo
-	runs           map[Ref]*allocation
+	allocations    map[Ref]*allocation
 	allocated      jobs.Size
-	listed         bool     // it has sent its lists to this owner, which fences previous owners
-	reachable      bool     // it answered the last call
-	registered     bool     // it has a registry entry
-	leaseExpiryMs  int64    // when its lease has expired at the latest, unless it is renewed
-	appliedSeq     int64    // number of the last end that was applied
-	storedSeq      int64    // number of the last end that is stored
-	backoffUntilMs int64    // no starts before this time
-	reserved       reserved // reservation for a waiting gang
+	listed         bool        // it has answered this owner, so it refuses calls of previous owners
+	reachable      bool        // it answered the last call
+	registered     bool        // it has a registry entry
+	leaseExpiryMs  int64       // latest time at which its lease expires, unless it is renewed
+	appliedSeq     int64       // sequence number of the last end that was applied
+	storedSeq      int64       // sequence number of the last end that is stored
+	backoffUntilMs int64       // no starts before this time
+	reservation    reservation // reservation for a waiting gang
 
 	indexedCPU   int64     // free CPU when the index was built
-	expectedFree jobs.Size // free capacity expected after horizonMs, set once a plan
+	expectedFree jobs.Size // free capacity expected after horizonMs; computed at most once in each plan
 }
 
 func newWorker(info WorkerInfo) *Worker {
-	return &Worker{WorkerInfo: info, runs: map[Ref]*allocation{}}
+	return &Worker{WorkerInfo: info, allocations: map[Ref]*allocation{}}
 }
 
 // free returns the capacity that is not allocated.
@@ -87,7 +87,7 @@
 
 // allocate adds an allocation.
 func (w *Worker) allocate(a *allocation) {
-	w.runs[a.ref] = a
+	w.allocations[a.ref] = a
 	w.allocated = w.allocated.Plus(a.size)
 }
 
@@ -97,7 +97,7 @@
 	used := map[string]jobs.Size{}
 	for _, w := range p.workers {
 		var sum jobs.Size
-		for ref, a := range w.runs {
+		for ref, a := range w.allocations {
 			sum = sum.Plus(a.size)
 			used[a.team] = used[a.team].Plus(a.size)
 			if a.ref != ref {
@@ -119,11 +119,11 @@
 // release removes the allocation of a task and returns it, or nil if there was
 // none.
 func (w *Worker) release(r Ref) *allocation {
-	a := w.runs[r]
+	a := w.allocations[r]
 	if a == nil {
 		return nil
 	}
-	delete(w.runs, r)
+	delete(w.allocations, r)
 	w.allocated = w.allocated.Minus(a.size)
 	return a
 }
