--- a/internal/node/lead/lead.go
+++ b/internal/node/lead/lead.go
@@ -1,15 +1,17 @@
-// Package lead runs the owner of the job topic. It stores the planner's
-// decisions, sends orders to workers and processes their reports.
+// Package lead runs the owner of the jobs: the one entry host that plans and
+// that appends to the job topic of the store. It stores the planner's decisions,
+// sends starts and stops to workers and processes their reports.
 //
-// A single loop writes. Each cycle takes the queued submissions and
-// cancellations, runs the planner, appends all records in one call, and only
-// then responds to callers and sends starts. An append carries the owner's epoch
-// and a sequence number, so it is idempotent: this host or a peer can repeat it
-// until its outcome is known. An owner stops as soon as it sees a higher epoch.
+// One loop writes to the store. Each of its cycles takes the queued submissions
+// and cancellations, runs the planner and appends all records, in several batches
+// if there are many. Only then does it respond to callers and send starts. An
+// append carries the owner's epoch and a sequence number, so it is idempotent:
+// this host or a peer can repeat it until its outcome is known. An owner stops as
+// soon as it sees a higher epoch.
 //
 // One loop per worker sends heartbeats, which renew the worker's lease and return
-// its running tasks and ended runs. The owner acknowledges an ended run only
-// after it is stored.
+// its running tasks and ended runs. A run is one execution of a task. The owner
+// acknowledges an ended run only after it is stored.
 //
 // # Usage
 //
@@ -38,7 +40,7 @@
 type AdviceClient interface {
 	sched.Desks
 	// Advise sends the request through the host reserved for it and releases
-	// that host. It also returns the age of the answer.
+	// that host. It also returns the estimated time since the service answered.
 	Advise(ctx context.Context, w sched.Want) (ports.Advice, time.Duration, error)
 }
 
@@ -63,15 +65,15 @@
 
 // Intervals, timeouts and limits of an owner.
 const (
-	leaseMs              = 5_000                  // survives a takeover and a 2 s power loss of all hosts; delays the rerun of a crashed worker's tasks
-	maxConfirmAgeMs      = 6_000                  // an owner without a confirmed append for this long renews no leases
+	leaseMs              = 5_000                  // outlasts a takeover and a 2 s power loss of all hosts; a longer lease delays the rerun of a crashed worker's tasks
+	maxConfirmAgeMs      = 6_000                  // an owner renews no leases if its last confirmed append is older; a new owner waits this long in addition to a lease
 	idleAppendInterval   = 500 * time.Millisecond // an idle owner appends a record to show that it is alive
-	planInterval         = 25 * time.Millisecond  // tickets expire and jobs become due without an event
-	registryPollInterval = 250 * time.Millisecond // a draining worker must get no start 2 s later
-	appendTimeout        = 700 * time.Millisecond // a slow store answers within 300 ms
+	planInterval         = 25 * time.Millisecond  // maximum time between planner runs; expired tickets and due jobs cause no wake-up
+	registryPollInterval = 250 * time.Millisecond // a worker must get no start later than 2 s after its registry entry says that it drains
+	storeTimeout         = 700 * time.Millisecond // of an append or a registry read; a slow store answers within 300 ms
 	appendRetryPause     = 25 * time.Millisecond
-	storeOutageAfter     = 1200 * time.Millisecond // a longer append makes new submissions fail fast
-	maxQueuedSubmissions = 4_000                   // submissions queued for the store
+	storeOutageAfter     = 1200 * time.Millisecond // new and queued submissions are rejected while an append is unconfirmed for longer
+	maxQueuedSubmissions = 4_000                   // further submissions are rejected
 )
 
 // Owner is a running owner of the job topic.
@@ -85,7 +87,7 @@
 	stopOnce  sync.Once
 	planWake  chan struct{} // wakes the plan loop
 	writeWake chan struct{} // wakes the write loop
-	nextSeq   int64         // of the next append; used by the write loop only
+	nextSeq   int64         // sequence number of the next append; used by the write loop only
 	storeSlow bool          // the last append was slow; used by the write loop only
 
 	mu               sync.Mutex
@@ -93,18 +95,18 @@
 	submissions      []*submission
 	cancellations    []*cancellation
 	workerClocks     map[string]workerClock
-	heartbeats       map[string]context.CancelFunc
+	heartbeatLoops   map[string]context.CancelFunc // by worker; present while its heartbeat loop runs
 	stopsInFlight    map[sched.Stop]bool
 	plannedStarts    []sched.Start // planned, intents not stored yet
-	stored           chan struct{} // closed and replaced after each append
-	unconfirmedSince time.Time     // send time of the first try of the unconfirmed append; zero if there is none
-	lastConfirmed    time.Time     // send time of the last confirmed append
+	stored           chan struct{} // closed and replaced after a cycle that stored records
+	unconfirmedSince time.Time     // when the unconfirmed append was first sent; zero if there is none
+	lastConfirmed    time.Time     // when the confirmed try of the last append was sent
 	lastLateLog      time.Time     // time of the last log lines about late tasks
 }
 
 // workerClock is a reading of a worker's clock.
 type workerClock struct {
-	ms          int64 // reading of the worker's clock
+	ms          int64 // time shown by the worker's clock
 	readAt      time.Time
 	incarnation int64 // of the worker
 }
@@ -115,7 +117,7 @@
 	done chan error
 }
 
-// cancellation is a request to cancel a job that waits to be stored.
+// cancellation is a cancel request that waits to be stored.
 type cancellation struct {
 	id   string
 	done chan error
@@ -127,11 +129,11 @@
 	o := &Owner{
 		cfg: cfg, ctx: ctx, cancel: cancel, done: make(chan struct{}), planWake: make(chan struct{}, 1), writeWake: make(chan struct{}, 1),
 		log:          cfg.Logger.WithName("lead").WithValues("epoch", cfg.Claim.Epoch),
-		workerClocks: map[string]workerClock{}, heartbeats: map[string]context.CancelFunc{}, stopsInFlight: map[sched.Stop]bool{},
+		workerClocks: map[string]workerClock{}, heartbeatLoops: map[string]context.CancelFunc{}, stopsInFlight: map[sched.Stop]bool{},
 		stored: make(chan struct{}), lastConfirmed: cfg.Clock.Now(), nextSeq: 1,
 	}
 	o.planner = sched.NewPlanner(sched.Config{
-		State: cfg.State, SilenceMs: maxConfirmAgeMs, LeaseMs: o.leaseDuration(), LeaseMaxMs: cfg.LeaseMax, KeepMs: cfg.KeepMs,
+		State: cfg.State, SilenceMs: maxConfirmAgeMs, LeaseMs: o.leaseDurationMs(), LeaseMaxMs: cfg.LeaseMax, KeepMs: cfg.KeepMs,
 	}, o.now())
 	o.planner.SetView(cfg.View)
 	o.log.Info("took over", "jobs", len(cfg.State.Jobs), "offset", cfg.State.Next)
@@ -149,9 +151,9 @@
 	return o
 }
 
-// leaseDuration returns the lease duration in ms: leaseMs or the maximum of the
+// leaseDurationMs returns the duration of a lease: leaseMs or the maximum of the
 // workers, whichever is shorter.
-func (o *Owner) leaseDuration() int64 {
+func (o *Owner) leaseDurationMs() int64 {
 	if o.cfg.LeaseMax > 0 {
 		return min(leaseMs, o.cfg.LeaseMax)
 	}
@@ -173,7 +175,8 @@
 // Done returns a channel that is closed when all loops of the owner have ended.
 func (o *Owner) Done() <-chan struct{} { return o.done }
 
-// Stop gives up ownership and fails the submissions that are not stored.
+// Stop gives up ownership. The write loop then fails the submissions and
+// cancellations that are not confirmed as stored.
 func (o *Owner) Stop(reason string) {
 	o.stopOnce.Do(func() {
 		o.log.Info("gave up ownership", "reason", reason)
@@ -184,7 +187,7 @@
 // wakePlanner wakes the plan loop.
 func (o *Owner) wakePlanner() { notify(o.planWake) }
 
-// notify sends on ch without blocking; a pending notification is not repeated.
+// notify sends on ch, or does nothing if a notification is already pending.
 func notify(ch chan struct{}) {
 	select {
 	case ch <- struct{}{}:
@@ -200,8 +203,8 @@
 	o.wakePlanner()
 }
 
-// errNotOwner returns the error for requests that a stopping owner has not sent
-// to the store.
+// errNotOwner returns the error for requests to an owner that has stopped, of
+// which nothing has been sent to the store.
 func errNotOwner() error {
 	return fault.New(fault.NotOwner, fault.NotRun, "this host no longer owns the jobs")
 }
@@ -230,7 +233,8 @@
 	}
 }
 
-// admit rejects a submission that cannot be stored soon. The caller holds o.mu.
+// admit returns an error if a new submission cannot be stored soon: the owner has
+// stopped, the queue is full or the store does not answer. The caller holds o.mu.
 func (o *Owner) admit() error {
 	switch {
 	case o.ctx.Err() != nil:
@@ -243,12 +247,12 @@
 	return nil
 }
 
-// outageRetryAfterSeconds is the Retry-After value during a store outage, which
-// lasts several seconds.
+// outageRetryAfterSeconds is the Retry-After value during a store outage. An
+// outage usually lasts several seconds.
 const outageRetryAfterSeconds = 2
 
-// errUnconfirmed returns the error for a request whose record is sent: it may be
-// stored already or may be stored later.
+// errUnconfirmed returns the error for a request whose record may have been sent
+// to the store but is not confirmed. The record may or may not be stored.
 func errUnconfirmed() error {
 	return fault.New(fault.Timeout, fault.Unknown, "the store has not confirmed the request yet")
 }
--- a/internal/node/lead/metrics.go
+++ b/internal/node/lead/metrics.go
@@ -17,7 +17,8 @@
 	adviceRequests *prometheus.CounterVec
 }
 
-// latencyBuckets range from one round trip to a store outage, in seconds.
+// latencyBuckets are the bucket limits in seconds, from one round trip to a store
+// outage.
 var latencyBuckets = []float64{.002, .005, .01, .02, .05, .1, .25, .5, 1, 2.5, 5, 10}
 
 // NewMetrics registers the metrics of an owner.
@@ -40,6 +41,8 @@
 	return m
 }
 
+// observeAppend records the duration of the confirmed try of an append and whether
+// there were earlier tries.
 func (m *Metrics) observeAppend(d time.Duration, retries int) {
 	if m == nil {
 		return
@@ -51,18 +54,22 @@
 	m.appends.WithLabelValues(repeated).Observe(d.Seconds())
 }
 
+// observeStart records the duration and the outcome of one try of a start.
 func (m *Metrics) observeStart(d time.Duration, err error) {
 	if m != nil {
 		m.starts.WithLabelValues(outcomeLabel(err)).Observe(d.Seconds())
 	}
 }
 
+// countHeartbeat counts a heartbeat by its outcome.
 func (m *Metrics) countHeartbeat(err error) {
 	if m != nil {
 		m.heartbeats.WithLabelValues(outcomeLabel(err)).Inc()
 	}
 }
 
+// countAdvice counts an advice request. Such a request changes nothing, so a failed
+// one has no unknown outcome.
 func (m *Metrics) countAdvice(ok bool) {
 	if m == nil {
 		return
@@ -74,7 +81,8 @@
 	m.adviceRequests.WithLabelValues(label).Inc()
 }
 
-// outcomeLabel returns the value of the outcome label.
+// outcomeLabel returns the outcome of a request to a worker: "refused" if it had no
+// effect, "unknown" if it may have had one.
 func outcomeLabel(err error) string {
 	switch {
 	case err == nil:
--- a/internal/node/lead/order.go
+++ b/internal/node/lead/order.go
@@ -11,17 +11,17 @@
 	"lagooncourse/internal/plat/ports"
 )
 
-// Timeouts and retry limits of orders and heartbeats.
+// Timeouts and retry limits of starts, stops and heartbeats.
 const (
-	startTimeout           = 400 * time.Millisecond // workers answer within a few ms; starts are idempotent
-	startTries             = 2
+	startTimeout           = 400 * time.Millisecond // workers answer within a few ms
+	startTries             = 2                      // starts are idempotent
 	stopTimeout            = 500 * time.Millisecond
 	stopRetryPause         = 150 * time.Millisecond
-	heartbeatWait          = 700 * time.Millisecond // bounds the delay of a reported end when an answer is lost
-	heartbeatTimeout       = 400 * time.Millisecond // in addition to the wait
+	heartbeatWait          = 700 * time.Millisecond // how long the worker may wait for an end before it replies; bounds the delay of an end whose reply is lost
+	heartbeatTimeout       = 400 * time.Millisecond // in addition to heartbeatWait
 	heartbeatRetryPause    = 100 * time.Millisecond // first backoff after a failure
 	maxHeartbeatRetryPause = 1500 * time.Millisecond
-	endsStoredTimeout      = time.Second // leases must be renewed during a store outage
+	endsStoredTimeout      = time.Second // then the next heartbeat is sent anyway, since leases must be renewed during a store outage
 )
 
 // mayRenew reports whether the last confirmed append is recent enough to renew
@@ -30,32 +30,34 @@
 	return o.cfg.Clock.Now().Sub(o.lastConfirmed) < maxConfirmAgeMs*time.Millisecond
 }
 
-// leaseEnd returns the end of a lease that begins now, on the worker's clock. It
-// returns 0 if the clock is unknown or leases must not be renewed. The caller
-// holds o.mu.
-func (o *Owner) leaseEnd(id string) int64 {
+// renewedLeaseEnd notes in the planner that a lease renewal is sent now, and
+// returns the end of the renewed lease, in ms on the worker's clock. It returns 0
+// if the clock of this incarnation of the worker is unknown or leases must not be
+// renewed. The caller holds o.mu.
+func (o *Owner) renewedLeaseEnd(id string) int64 {
 	c, ok := o.workerClocks[id]
 	if info, _ := o.planner.Worker(id); !ok || info.Born != c.incarnation || !o.mayRenew() {
 		return 0
 	}
 	o.planner.Renewing(id, o.now())
-	return c.ms + o.cfg.Clock.Now().Sub(c.readAt).Milliseconds() + o.leaseDuration()
+	return c.ms + o.cfg.Clock.Now().Sub(c.readAt).Milliseconds() + o.leaseDurationMs()
 }
 
-// sendStart sends a start and retries it while the outcome is unknown.
+// sendStart sends a start, at most startTries times while its outcome is unknown,
+// and passes the outcome to the planner.
 func (o *Owner) sendStart(s sched.Start) {
-	out := sched.StartUnknown
+	outcome := sched.StartUnknown
 	var err error
-	for try := 0; try < startTries && out == sched.StartUnknown; try++ {
+	for try := 0; try < startTries && outcome == sched.StartUnknown; try++ {
 		o.mu.Lock()
 		end := int64(0)
 		if o.planner.Due(s) {
-			end = o.leaseEnd(s.Worker)
+			end = o.renewedLeaseEnd(s.Worker)
 		}
 		o.mu.Unlock()
 		if end == 0 {
 			if try == 0 {
-				out = sched.StartRefused
+				outcome = sched.StartRefused // nothing has been sent
 			}
 			break
 		}
@@ -67,17 +69,17 @@
 		})
 		cancel()
 		o.cfg.Metrics.observeStart(o.cfg.Clock.Now().Sub(sent), err)
-		out = startOutcome(err, try)
-		o.checkFence(err)
+		outcome = startOutcome(err, try)
+		o.stopIfFenced(err)
 	}
 	o.mu.Lock()
-	o.planner.Started(s, out, o.now())
+	o.planner.Started(s, outcome, o.now())
 	o.dispatchStops()
 	o.mu.Unlock()
-	if out != sched.StartUp {
+	if outcome != sched.StartUp {
 		o.wakePlanner()
 	}
-	o.log.Info("start", "task", s.Ref.String(), "run", s.Run, "worker", s.Worker, "outcome", out.String(), "err", errText(err))
+	o.log.Info("start", "task", s.Ref.String(), "run", s.Run, "worker", s.Worker, "outcome", outcome.String(), "err", errText(err))
 }
 
 // errText returns the text of err for a log line, "" if err is nil.
@@ -88,15 +90,16 @@
 	return err.Error()
 }
 
-// checkFence gives up ownership if a worker refused the fencing token as outdated.
-func (o *Owner) checkFence(err error) {
+// stopIfFenced gives up ownership if a worker refused the fencing token as outdated.
+func (o *Owner) stopIfFenced(err error) {
 	if ports.ReasonOf(err) == ports.RefusedFence {
 		o.Stop("a worker has seen a higher fencing token")
 	}
 }
 
-// startOutcome returns the outcome of attempt try of a start. A refused retry
-// leaves the outcome unknown, since the first attempt may still arrive.
+// startOutcome returns the outcome of a start after the given try, which is 0 for
+// the first. A refusal of a later try leaves the outcome unknown, since the first
+// one may still arrive.
 func startOutcome(err error, try int) sched.Outcome {
 	if err == nil {
 		return sched.StartUp
@@ -133,8 +136,8 @@
 	}
 }
 
-// sendStop retries a stop until the worker confirms or refuses it, or is no longer
-// in use.
+// sendStop retries a stop until the worker confirms it or refuses it for a reason
+// other than overload, or until the planner no longer tracks the worker.
 func (o *Owner) sendStop(s sched.Stop) {
 	defer func() {
 		o.mu.Lock()
@@ -160,15 +163,17 @@
 }
 
 // handleStopResult processes the result of a stop and reports whether no retry is
-// needed. A refusal for a reason other than overload means that the run does not
-// exist and will not start.
+// needed. A stop without an answer, or refused for overload, must be retried. A
+// refusal because of a higher fencing token ends ownership, and a restarted worker
+// no longer has the run. In all other cases the planner checks the run against the
+// worker's next list.
 func (o *Owner) handleStopResult(s sched.Stop, err error) bool {
 	switch reason := ports.ReasonOf(err); {
 	case err == nil:
 	case reason == "" || reason == ports.RefusedBusy:
 		return false
 	case reason == ports.RefusedFence:
-		o.checkFence(err)
+		o.stopIfFenced(err)
 		return true
 	case reason == ports.RefusedReborn:
 		return true
@@ -179,14 +184,16 @@
 	return true
 }
 
-// worker returns the registry data of a worker that is in use.
+// worker returns the registry entry of a worker. It returns false if the planner
+// does not track the worker: it has neither a registry entry nor allocations.
 func (o *Owner) worker(id string) (sched.WorkerInfo, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.planner.Worker(id)
 }
 
-// heartbeatLoop sends heartbeats to a worker until it is no longer in use.
+// heartbeatLoop sends heartbeats to a worker until the planner no longer tracks
+// it.
 func (o *Owner) heartbeatLoop(ctx context.Context, id string) {
 	pause := heartbeatRetryPause
 	for ctx.Err() == nil {
@@ -194,13 +201,13 @@
 		if !ok {
 			return
 		}
-		ends, err := o.heartbeat(ctx, info)
+		unstoredEnds, err := o.heartbeat(ctx, info)
 		switch {
 		case err != nil:
 			clock.Sleep(ctx, pause)
 			pause = min(2*pause, maxHeartbeatRetryPause)
 			continue
-		case ends:
+		case unstoredEnds:
 			o.awaitEndsStored(ctx, id)
 		}
 		pause = heartbeatRetryPause
@@ -208,7 +215,8 @@
 }
 
 // awaitEndsStored waits until the ended runs that a worker has reported are
-// stored. An earlier heartbeat would return the same ended runs immediately.
+// stored, for at most endsStoredTimeout. An earlier heartbeat would return the same
+// ended runs immediately.
 func (o *Owner) awaitEndsStored(ctx context.Context, id string) {
 	t := time.NewTimer(endsStoredTimeout)
 	defer t.Stop()
@@ -230,17 +238,17 @@
 }
 
 // heartbeat sends one heartbeat to a worker, which renews its lease and returns
-// its running tasks and ended runs. It reports whether some of those ends are not
-// stored yet.
-func (o *Owner) heartbeat(ctx context.Context, info sched.WorkerInfo) (ends bool, err error) {
+// its running tasks and ended runs. It reports whether some of the ended runs are
+// not stored yet.
+func (o *Owner) heartbeat(ctx context.Context, info sched.WorkerInfo) (unstoredEnds bool, err error) {
 	o.mu.Lock()
-	_, known := o.workerClocks[info.ID]
+	_, clockKnown := o.workerClocks[info.ID]
 	req := ports.HoldRequest{
-		Peer: ports.Peer{ID: info.ID, Addr: info.Addr}, Token: o.cfg.Claim.Epoch, LeaseEnd: o.leaseEnd(info.ID),
+		Peer: ports.Peer{ID: info.ID, Addr: info.Addr}, Token: o.cfg.Claim.Epoch, LeaseEnd: o.renewedLeaseEnd(info.ID),
 		Seen: o.planner.Seen(info.ID),
 	}
 	o.mu.Unlock()
-	if known {
+	if clockKnown {
 		req.Wait = heartbeatWait
 	}
 	sent := o.now()
@@ -252,39 +260,41 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if err != nil {
-		if o.ctx.Err() == nil { // otherwise the call was canceled by this host
+		if o.ctx.Err() == nil { // otherwise the call was cancelled by this host
 			o.heartbeatFailed(info, err)
 		}
 		return false, err
 	}
 	o.workerClocks[info.ID] = workerClock{ms: h.Clock, readAt: readAt, incarnation: h.Born}
-	before := o.planner.Applied(info.ID)
+	lastApplied := o.planner.Applied(info.ID)
 	o.planner.Listed(info.ID, sched.Lists{SentMs: sent.Ms, Born: h.Born, Running: h.Running, Finished: h.Finished}, o.now())
-	o.logEnds(info.ID, before, h.Finished)
+	o.logEnds(info.ID, lastApplied, h.Finished)
 	o.dispatchStops()
-	ends = o.planner.Applied(info.ID) > o.planner.Seen(info.ID)
-	if ends || !known {
+	unstoredEnds = o.planner.Applied(info.ID) > o.planner.Seen(info.ID)
+	if unstoredEnds || !clockKnown {
 		o.wakePlanner()
 	}
-	return ends, nil
+	return unstoredEnds, nil
 }
 
-// logEnds logs each newly reported end of a run.
-func (o *Owner) logEnds(worker string, before int64, finished []sched.Finished) {
+// logEnds logs the ended runs with a number above lastApplied.
+func (o *Owner) logEnds(worker string, lastApplied int64, finished []sched.Finished) {
 	for _, f := range finished {
-		if f.N > before {
+		if f.N > lastApplied {
 			o.log.Info("end", "task", f.Task, "run", f.Run, "how", f.How, "worker", worker)
 		}
 	}
 }
 
-// heartbeatFailed handles a failed heartbeat. The caller holds o.mu.
+// heartbeatFailed marks the worker as unreachable and discards the reading of its
+// clock, so that no lease is renewed before the next successful heartbeat. The
+// caller holds o.mu.
 func (o *Owner) heartbeatFailed(info sched.WorkerInfo, err error) {
 	if o.planner.Unanswered(info.ID) {
 		o.log.Info("worker does not answer", "worker", info.ID, "err", err.Error())
 	}
 	delete(o.workerClocks, info.ID)
-	o.checkFence(err)
+	o.stopIfFenced(err)
 }
 
 // registryLoop polls the worker registry.
@@ -303,15 +313,15 @@
 // readRegistry applies the registry records from the offset next on, or the
 // newest record of each worker if next is negative. It returns the next offset.
 func (o *Owner) readRegistry(next int64) (int64, error) {
-	ctx, cancel := context.WithTimeout(o.ctx, appendTimeout)
+	ctx, cancel := context.WithTimeout(o.ctx, storeTimeout)
 	defer cancel()
 	if next < 0 {
-		return o.readFullRegistry(ctx)
+		return o.readNewestRegistry(ctx)
 	}
 	page, err := o.cfg.Store.Read(ctx, ports.ReadRequest{Topic: o.cfg.WorkerTopic, From: next})
 	var gone *ports.GoneError
 	if errors.As(err, &gone) {
-		return o.readFullRegistry(ctx)
+		return o.readNewestRegistry(ctx)
 	}
 	if err != nil {
 		return next, err
@@ -326,9 +336,9 @@
 	return next, nil
 }
 
-// readFullRegistry applies the newest record of each worker and drops the workers
+// readNewestRegistry applies the newest record of each worker and drops the workers
 // without one.
-func (o *Owner) readFullRegistry(ctx context.Context) (int64, error) {
+func (o *Owner) readNewestRegistry(ctx context.Context) (int64, error) {
 	all, end, err := ports.ReadNewest(ctx, o.cfg.Store, o.cfg.WorkerTopic)
 	if err != nil {
 		return -1, err
@@ -368,20 +378,20 @@
 	o.planner.SetWorker(info, o.now())
 }
 
-// startHeartbeats starts a heartbeat loop for each worker that is in use and has
-// none. The caller holds o.mu.
+// startHeartbeats starts a heartbeat loop for each worker that the planner tracks
+// and that has none. The caller holds o.mu.
 func (o *Owner) startHeartbeats() {
 	for _, info := range o.planner.Targets() {
-		if o.heartbeats[info.ID] != nil || o.ctx.Err() != nil {
+		if o.heartbeatLoops[info.ID] != nil || o.ctx.Err() != nil {
 			continue
 		}
 		ctx, cancel := context.WithCancel(o.ctx)
-		o.heartbeats[info.ID] = cancel
+		o.heartbeatLoops[info.ID] = cancel
 		go func() {
 			defer cancel()
 			o.heartbeatLoop(ctx, info.ID)
 			o.mu.Lock()
-			delete(o.heartbeats, info.ID)
+			delete(o.heartbeatLoops, info.ID)
 			o.mu.Unlock()
 		}()
 	}
--- a/internal/node/lead/play_test.go
+++ b/internal/node/lead/play_test.go
@@ -28,7 +28,7 @@
 	jobs          int
 	unfinishedJob string   // set by unfinished, for the failure message
 	storedJobs    []string // jobs whose acceptance is stored
-	mut           mutation
+	disabled      mutation
 }
 
 // mutation selects a safeguard to disable, to show that the simulation detects it.
@@ -67,131 +67,131 @@
 	Teams: map[string]sched.Limit{"a": {Max: jobs.Size{CPU: 30_000}}, "b": {}},
 }
 
-func newSimulation(t *testing.T, seed int64, mut mutation) *simulation {
-	p := &simulation{
-		t: t, rand: rand.New(rand.NewSource(seed)), mut: mut,
+func newSimulation(t *testing.T, seed int64, disabled mutation) *simulation {
+	sim := &simulation{
+		t: t, rand: rand.New(rand.NewSource(seed)), disabled: disabled,
 		farm: fakes.NewFarm(fakes.FarmConfig{
 			Workers: 8, Capacity: jobs.Size{CPU: 16_000, Mem: 32_000}, Rack: 4, Azs: []string{"x", "y"}, Service: "s", Seed: seed,
 		}),
 		nowMs: 1_000,
 	}
-	p.farm.SetLimit("a", jobs.Size{CPU: 30_000, Mem: jobs.Unlimited, Accel: jobs.Unlimited})
-	p.takeOver()
-	return p
+	sim.farm.SetLimit("a", jobs.Size{CPU: 30_000, Mem: jobs.Unlimited, Accel: jobs.Unlimited})
+	sim.takeOver()
+	return sim
 }
 
-func (p *simulation) now() sched.Instant { return sched.Instant{Ms: p.nowMs, Wall: p.nowMs} }
+func (sim *simulation) now() sched.Instant { return sched.Instant{Ms: sim.nowMs, Wall: sim.nowMs} }
 
 // takeOver starts a new owner from the stored records.
-func (p *simulation) takeOver() {
+func (sim *simulation) takeOver() {
 	state := sched.NewState()
-	for _, r := range p.records {
-		assert.NilError(p.t, state.Apply(r[0], []byte(r[1])))
+	for _, r := range sim.records {
+		assert.NilError(sim.t, state.Apply(r[0], []byte(r[1])))
 	}
 	silence := int64(maxConfirmAgeMs)
-	if p.mut == noLeaseWait {
-		silence = -20_000
+	if sim.disabled == noLeaseWait {
+		silence = -20_000 // cancels the wait for a lease
 	}
-	o := &simOwner{epoch: int64(len(p.owners) + 1), clocks: map[string][3]int64{}, confirmedMs: p.nowMs}
-	if p.mut == noFence {
+	o := &simOwner{epoch: int64(len(sim.owners) + 1), clocks: map[string][3]int64{}, confirmedMs: sim.nowMs}
+	if sim.disabled == noFence {
 		o.epoch = 1
 	}
-	o.planner = sched.NewPlanner(sched.Config{State: state, SilenceMs: silence, LeaseMs: simLeaseMs, LeaseMaxMs: fakes.HoldMaxMs, KeepMs: 1 << 40}, p.now())
+	o.planner = sched.NewPlanner(sched.Config{State: state, SilenceMs: silence, LeaseMs: simLeaseMs, LeaseMaxMs: fakes.HoldMaxMs, KeepMs: 1 << 40}, sim.now())
 	o.planner.SetView(simView)
-	if n := len(p.owners); n > 0 {
-		p.owners[n-1].replacedMs = p.nowMs
+	if n := len(sim.owners); n > 0 {
+		sim.owners[n-1].replacedMs = sim.nowMs
 	}
-	p.owners = append(p.owners, o)
+	sim.owners = append(sim.owners, o)
 }
 
 // submit accepts a random job.
-func (p *simulation) submit() {
-	p.jobs++
-	spec := sched.Spec{ID: fmt.Sprintf("%016x", p.jobs), Queue: "batch", Team: "b", AtMs: p.nowMs}
-	if p.rand.Intn(2) == 0 {
+func (sim *simulation) submit() {
+	sim.jobs++
+	spec := sched.Spec{ID: fmt.Sprintf("%016x", sim.jobs), Queue: "batch", Team: "b", AtMs: sim.nowMs}
+	if sim.rand.Intn(2) == 0 {
 		spec.Queue, spec.Team = "urgent", "a"
 	}
-	for i := range 1 + p.rand.Intn(2) {
+	for i := range 1 + sim.rand.Intn(2) {
 		s := sched.Step{
-			Count: 1 + p.rand.Intn(4), Size: jobs.Size{CPU: int64(1000 + p.rand.Intn(5000)), Mem: int64(p.rand.Intn(9000))},
-			EstimateMs: int64(200 + p.rand.Intn(3000)), Gang: p.rand.Intn(3) == 0,
+			Count: 1 + sim.rand.Intn(4), Size: jobs.Size{CPU: int64(1000 + sim.rand.Intn(5000)), Mem: int64(sim.rand.Intn(9000))},
+			EstimateMs: int64(200 + sim.rand.Intn(3000)), Gang: sim.rand.Intn(3) == 0,
 		}
 		if i > 0 {
 			s.After = []int{i - 1}
 		}
 		spec.Steps = append(spec.Steps, s)
 	}
-	p.farm.Know(spec)
-	p.owners[len(p.owners)-1].planner.Accept(spec, p.now())
+	sim.farm.Know(spec)
+	sim.owners[len(sim.owners)-1].planner.Accept(spec, sim.now())
 }
 
 // step advances the time and runs the current owner and those replaced less than
 // maxConfirmAgeMs ago.
-func (p *simulation) step() {
-	p.nowMs += simStepMs
-	p.farm.Advance(p.nowMs)
-	for i, o := range p.owners {
-		current := i == len(p.owners)-1
-		if !current && p.nowMs-o.replacedMs > maxConfirmAgeMs {
+func (sim *simulation) step() {
+	sim.nowMs += simStepMs
+	sim.farm.Advance(sim.nowMs)
+	for i, o := range sim.owners {
+		current := i == len(sim.owners)-1
+		if !current && sim.nowMs-o.replacedMs > maxConfirmAgeMs {
 			continue
 		}
-		p.runOwner(o, current)
+		sim.runOwner(o, current)
 	}
 }
 
 // runOwner runs one round of an owner. Only the current owner plans and stores.
-func (p *simulation) runOwner(o *simOwner, current bool) {
-	for _, info := range p.farm.Entries() {
-		o.planner.SetWorker(info, p.now())
+func (sim *simulation) runOwner(o *simOwner, current bool) {
+	for _, info := range sim.farm.Entries() {
+		o.planner.SetWorker(info, sim.now())
 	}
-	o.planner.Tick(p.now())
+	o.planner.Tick(sim.now())
 	if current {
-		o.plannedStarts = append(o.plannedStarts, o.planner.Plan(unlimitedAdvice{}, p.now()).Starts...)
-		p.store(o)
+		o.plannedStarts = append(o.plannedStarts, o.planner.Plan(unlimitedAdvice{}, sim.now()).Starts...)
+		sim.store(o)
 	}
-	p.deliver(o)
+	sim.deliver(o)
 	stops := o.planner.TakeStops()
 	sort.Slice(stops, func(a, b int) bool { return stops[a].Ref.String() < stops[b].Ref.String() })
 	stops = append(o.stops, stops...)
 	o.stops = nil
 	for _, s := range stops {
-		p.sendStop(o, s)
+		sim.sendStop(o, s)
 	}
-	p.heartbeats(o)
-	assert.NilError(p.t, o.planner.Audit())
+	sim.heartbeats(o)
+	assert.NilError(sim.t, o.planner.Audit())
 }
 
 // store appends the pending records and queues the starts whose intents are
 // stored.
-func (p *simulation) store(o *simOwner) {
-	b, err := o.planner.TakeDirty(p.now())
-	assert.NilError(p.t, err)
+func (sim *simulation) store(o *simOwner) {
+	b, err := o.planner.TakeDirty(sim.now())
+	assert.NilError(sim.t, err)
 	for i, key := range b.Keys {
-		p.records = append(p.records, [2]string{key, string(b.Values[i])})
+		sim.records = append(sim.records, [2]string{key, string(b.Values[i])})
 	}
-	o.confirmedMs = p.nowMs
-	p.storedJobs = append(p.storedJobs, b.Accepted...)
+	o.confirmedMs = sim.nowMs
+	sim.storedJobs = append(sim.storedJobs, b.Accepted...)
 	o.planner.Stored(b)
-	send := o.planner.Release(o.plannedStarts, p.now())
+	send := o.planner.Release(o.plannedStarts, sim.now())
 	o.plannedStarts = nil
 	for _, s := range send {
-		at := p.nowMs
-		if p.rand.Intn(10) == 0 {
-			at += p.rand.Int63n(2000) // delayed by the network or a paused sender
+		at := sim.nowMs
+		if sim.rand.Intn(10) == 0 {
+			at += sim.rand.Int63n(2000) // delayed by the network or a paused sender
 		}
 		o.delayedStarts = append(o.delayedStarts, delayedStart{at, s})
 	}
 }
 
 // deliver sends the starts that are due.
-func (p *simulation) deliver(o *simOwner) {
+func (sim *simulation) deliver(o *simOwner) {
 	rest := o.delayedStarts[:0]
 	for _, d := range o.delayedStarts {
-		if d.sendMs > p.nowMs {
+		if d.sendMs > sim.nowMs {
 			rest = append(rest, d)
 			continue
 		}
-		p.sendStart(o, d.start)
+		sim.sendStart(o, d.start)
 	}
 	o.delayedStarts = rest
 }
@@ -213,24 +213,24 @@
 }
 
 // sendStart sends a start if it is still valid.
-func (p *simulation) sendStart(o *simOwner, s sched.Start) {
-	end := o.leaseEnd(s.Worker, p.nowMs)
+func (sim *simulation) sendStart(o *simOwner, s sched.Start) {
+	end := o.leaseEnd(s.Worker, sim.nowMs)
 	if end == 0 || !o.planner.Due(s) {
-		o.planner.Started(s, sched.StartRefused, p.now())
+		o.planner.Started(s, sched.StartRefused, sim.now())
 		return
 	}
-	o.planner.Renewing(s.Worker, p.now())
-	_, err := p.farm.StartAt(ports.StartOrder{
+	o.planner.Renewing(s.Worker, sim.now())
+	_, err := sim.farm.StartAt(ports.StartOrder{
 		Peer: ports.Peer{ID: s.Worker}, Token: o.epoch, Task: s.Ref.String(), Run: s.Run, LeaseEnd: end,
-	}, p.nowMs)
-	o.planner.Started(s, startOutcome(err, 0), p.now())
+	}, sim.nowMs)
+	o.planner.Started(s, startOutcome(err, 0), sim.now())
 }
 
 // sendStop sends a stop and queues it for the next round if it is not answered.
-func (p *simulation) sendStop(o *simOwner, s sched.Stop) {
-	err := p.farm.StopAt(ports.StopOrder{Peer: ports.Peer{ID: s.Worker}, Token: o.epoch, Task: s.Ref.String(), Run: s.Run}, p.nowMs)
+func (sim *simulation) sendStop(o *simOwner, s sched.Stop) {
+	err := sim.farm.StopAt(ports.StopOrder{Peer: ports.Peer{ID: s.Worker}, Token: o.epoch, Task: s.Ref.String(), Run: s.Run}, sim.nowMs)
 	if err == nil {
-		o.planner.StopDenied(s, p.now())
+		o.planner.StopDenied(s, sim.now())
 		return
 	}
 	var refused *ports.RefusedError
@@ -240,35 +240,35 @@
 }
 
 // heartbeats sends heartbeats to a random quarter of the workers.
-func (p *simulation) heartbeats(o *simOwner) {
+func (sim *simulation) heartbeats(o *simOwner) {
 	for _, info := range o.planner.Targets() {
-		if p.rand.Intn(4) > 0 {
+		if sim.rand.Intn(4) > 0 {
 			continue
 		}
-		end := o.leaseEnd(info.ID, p.nowMs)
+		end := o.leaseEnd(info.ID, sim.nowMs)
 		if end > 0 {
-			o.planner.Renewing(info.ID, p.now())
+			o.planner.Renewing(info.ID, sim.now())
 		}
 		seen := o.planner.Seen(info.ID)
-		if p.mut == ackBeforeStored {
+		if sim.disabled == ackBeforeStored {
 			seen = o.planner.Applied(info.ID) + 1
 		}
-		h, err := p.farm.HoldAt(ports.HoldRequest{Peer: ports.Peer{ID: info.ID}, Token: o.epoch, LeaseEnd: end, Seen: seen}, p.nowMs)
+		h, err := sim.farm.HoldAt(ports.HoldRequest{Peer: ports.Peer{ID: info.ID}, Token: o.epoch, LeaseEnd: end, Seen: seen}, sim.nowMs)
 		if err != nil {
 			o.planner.Unanswered(info.ID)
 			delete(o.clocks, info.ID)
 			continue
 		}
 		incarnation := h.Born
-		if p.mut == noIncarnationCheck {
+		if sim.disabled == noIncarnationCheck {
 			incarnation = 1
 		}
-		o.clocks[info.ID] = [3]int64{h.Clock, p.nowMs, h.Born}
-		o.planner.Listed(info.ID, sched.Lists{SentMs: p.nowMs, Born: incarnation, Running: h.Running, Finished: h.Finished}, p.now())
+		o.clocks[info.ID] = [3]int64{h.Clock, sim.nowMs, h.Born}
+		o.planner.Listed(info.ID, sched.Lists{SentMs: sim.nowMs, Born: incarnation, Running: h.Running, Finished: h.Finished}, sim.now())
 	}
 }
 
-// unlimitedAdvice is an advice capacity without limit.
+// unlimitedAdvice always has a free host for an advice request.
 type unlimitedAdvice struct{}
 
 func (unlimitedAdvice) Idle() bool                  { return true }
@@ -276,47 +276,47 @@
 
 // injectFault triggers a takeover or a worker restart, or changes the network
 // faults.
-func (p *simulation) injectFault() {
-	id := fmt.Sprintf("w%d", p.rand.Intn(8))
-	switch p.rand.Intn(7) {
+func (sim *simulation) injectFault() {
+	id := fmt.Sprintf("w%d", sim.rand.Intn(8))
+	switch sim.rand.Intn(7) {
 	case 0:
-		p.takeOver()
+		sim.takeOver()
 	case 1:
-		p.farm.Cut(id, true)
+		sim.farm.Cut(id, true)
 	case 2, 3:
-		p.farm.Cut(id, false)
+		sim.farm.Cut(id, false)
 	case 4:
-		p.farm.Reboot(id, p.nowMs)
+		sim.farm.Reboot(id, sim.nowMs)
 	case 5:
-		p.farm.SetFaults(fakes.FarmFaults{Lost: 0.1, Late: 0.1, Fail: 0.05})
+		sim.farm.SetFaults(fakes.FarmFaults{Lost: 0.1, Late: 0.1, Fail: 0.05})
 	case 6:
-		p.farm.SetFaults(fakes.FarmFaults{})
+		sim.farm.SetFaults(fakes.FarmFaults{})
 	}
 }
 
-// settle removes all faults and runs until every job has ended or two minutes
+// finish removes all faults and runs until every job has ended or two minutes
 // have passed. It returns the number of unfinished jobs.
-func (p *simulation) settle() (unfinished int) {
+func (sim *simulation) finish() (unfinished int) {
 	for i := range 8 {
-		p.farm.Cut(fmt.Sprintf("w%d", i), false)
+		sim.farm.Cut(fmt.Sprintf("w%d", i), false)
 	}
-	p.farm.SetFaults(fakes.FarmFaults{})
+	sim.farm.SetFaults(fakes.FarmFaults{})
 	for range 120_000 / simStepMs {
-		p.step()
-		if p.unfinished() == 0 && p.farm.Running() == 0 {
+		sim.step()
+		if sim.unfinished() == 0 && sim.farm.Running() == 0 {
 			break
 		}
 	}
-	return p.unfinished()
+	return sim.unfinished()
 }
 
 // unfinished returns the number of stored jobs that have not ended.
-func (p *simulation) unfinished() int {
+func (sim *simulation) unfinished() int {
 	n := 0
-	for _, id := range p.storedJobs {
-		s, _ := p.owners[len(p.owners)-1].planner.Status(id)
+	for _, id := range sim.storedJobs {
+		s, _ := sim.owners[len(sim.owners)-1].planner.Status(id)
 		if s != sched.StatusCompleted && s != sched.StatusFailed {
-			p.unfinishedJob = id
+			sim.unfinishedJob = id
 			n++
 		}
 	}
@@ -324,15 +324,15 @@
 }
 
 // run simulates one minute with random submissions and faults.
-func (p *simulation) run() {
+func (sim *simulation) run() {
 	for range 60_000 / simStepMs {
-		if p.rand.Intn(8) == 0 && p.nowMs < 40_000 {
-			p.submit()
+		if sim.rand.Intn(8) == 0 && sim.nowMs < 40_000 {
+			sim.submit()
 		}
-		if p.rand.Intn(60) == 0 {
-			p.injectFault()
+		if sim.rand.Intn(60) == 0 {
+			sim.injectFault()
 		}
-		p.step()
+		sim.step()
 	}
 }
 
@@ -341,18 +341,18 @@
 func TestPlay(t *testing.T) {
 	for seed := int64(1); seed <= int64(*simSeeds); seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			p := newSimulation(t, seed, noMutation)
-			p.run()
-			open := p.settle()
-			assert.DeepEqual(t, p.farm.Broken(), []string(nil))
-			for _, late := range p.owners[len(p.owners)-1].planner.Late(1000, 5, p.now()) {
+			sim := newSimulation(t, seed, noMutation)
+			sim.run()
+			open := sim.finish()
+			assert.DeepEqual(t, sim.farm.Broken(), []string(nil))
+			for _, late := range sim.owners[len(sim.owners)-1].planner.Late(1000, 5, sim.now()) {
 				t.Logf("%+v", late)
 			}
 			if open > 0 {
-				t.Log(p.owners[len(p.owners)-1].planner.Describe(p.unfinishedJob))
+				t.Log(sim.owners[len(sim.owners)-1].planner.Describe(sim.unfinishedJob))
 			}
-			assert.Equal(t, open, 0, "unfinished jobs of %d", len(p.storedJobs))
-			assert.Assert(t, p.farm.Starts() > p.jobs/2, "only %d starts for %d jobs", p.farm.Starts(), p.jobs)
+			assert.Equal(t, open, 0, "unfinished jobs of %d", len(sim.storedJobs))
+			assert.Assert(t, sim.farm.Starts() > sim.jobs/2, "only %d starts for %d jobs", sim.farm.Starts(), sim.jobs)
 		})
 	}
 }
@@ -365,10 +365,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := int64(1); seed <= 40; seed++ {
-				p := newSimulation(t, seed, m)
-				p.run()
-				if open := p.settle(); open > 0 || len(p.farm.Broken()) > 0 {
-					t.Logf("detected with seed %d: %d unfinished jobs, violation %q", seed, open, first(p.farm.Broken()))
+				sim := newSimulation(t, seed, m)
+				sim.run()
+				if open := sim.finish(); open > 0 || len(sim.farm.Broken()) > 0 {
+					t.Logf("detected with seed %d: %d unfinished jobs, violation %q", seed, open, firstOrEmpty(sim.farm.Broken()))
 					return
 				}
 			}
@@ -377,7 +377,8 @@
 	}
 }
 
-func first(list []string) string {
+// firstOrEmpty returns the first element of list, or "" if list is empty.
+func firstOrEmpty(list []string) string {
 	if len(list) == 0 {
 		return ""
 	}
--- a/internal/node/lead/write.go
+++ b/internal/node/lead/write.go
@@ -13,31 +13,33 @@
 // planLoop runs the planner after each change. It does not wait for appends, so
 // advice is requested and capacity is reserved while the store is slow.
 func (o *Owner) planLoop() {
-	timer := time.NewTicker(planInterval)
-	defer timer.Stop()
+	ticker := time.NewTicker(planInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-o.ctx.Done():
 			return
 		case <-o.planWake:
-		case <-timer.C:
+		case <-ticker.C:
 		}
 		o.mu.Lock()
-		due := o.planLocked()
+		unstored := o.planLocked()
 		o.mu.Unlock()
-		if due {
+		if unstored {
 			notify(o.writeWake)
 		}
 		clock.Sleep(o.ctx, planDebounce)
 	}
 }
 
-// planDebounce batches events that arrive together. It is a tenth of the target
-// start latency of urgent jobs.
+// planDebounce is the pause after a planner run, so that events that arrive
+// together are handled in one run. It is a tenth of the target start latency of
+// urgent jobs.
 const planDebounce = 5 * time.Millisecond
 
-// planLocked places the tasks that fit and requests advice. It reports whether
-// there is anything to store. The caller holds o.mu.
+// planLocked requeues the tasks of lost workers, places the tasks that fit,
+// requests advice and sends stops. It reports whether there is anything to store.
+// The caller holds o.mu.
 func (o *Owner) planLocked() bool {
 	now := o.now()
 	for _, id := range o.planner.Tick(now) {
@@ -56,14 +58,14 @@
 // writeLoop runs a cycle on each wake-up and at least every idleAppendInterval.
 func (o *Owner) writeLoop() {
 	defer o.rejectAll()
-	timer := time.NewTicker(idleAppendInterval)
-	defer timer.Stop()
+	ticker := time.NewTicker(idleAppendInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-o.ctx.Done():
 			return
 		case <-o.writeWake:
-		case <-timer.C:
+		case <-ticker.C:
 		}
 		if !o.runCycle() {
 			return
@@ -100,14 +102,14 @@
 	return true
 }
 
-// cycleWork is the work of one cycle.
+// cycleWork holds the requests and starts of one cycle of the write loop.
 type cycleWork struct {
-	batch          *sched.Batch
+	batch          *sched.Batch // current batch; a cycle may need several
 	submissions    []*submission
 	cancellations  []*cancellation
-	plannedStarts  []sched.Start          // intents are in the batch
-	releasedStarts []sched.Start          // released for sending
-	unknownJob     map[*cancellation]bool // the job does not exist
+	plannedStarts  []sched.Start          // their intents are in the batches
+	releasedStarts []sched.Start          // may be sent, since their intents are stored
+	jobMissing     map[*cancellation]bool // true if the job does not exist
 }
 
 // failUnconfirmed fails the requests whose append was not confirmed when ownership
@@ -126,13 +128,13 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := o.now()
-	w = &cycleWork{submissions: o.submissions, cancellations: o.cancellations, unknownJob: map[*cancellation]bool{}}
+	w = &cycleWork{submissions: o.submissions, cancellations: o.cancellations, jobMissing: map[*cancellation]bool{}}
 	o.submissions, o.cancellations = nil, nil
 	for _, s := range w.submissions {
 		o.planner.Accept(s.spec, now)
 	}
 	for _, c := range w.cancellations {
-		w.unknownJob[c] = !o.planner.Cancel(c.id, now)
+		w.jobMissing[c] = !o.planner.Cancel(c.id, now)
 	}
 	o.planLocked()
 	w.plannedStarts, o.plannedStarts = o.plannedStarts, nil
@@ -143,15 +145,15 @@
 	return w, err
 }
 
-// Limits of the log lines about steps that have waited for long.
+// Limits of the log lines about steps that have waited for a long time.
 const (
 	lateAfterMs     = 3_000
 	lateLogInterval = 2 * time.Second
-	maxLateLines    = 10
+	maxLateLines    = 10 // per lateLogInterval
 )
 
-// logLate logs why steps that have waited for long are not placed. The caller
-// holds o.mu.
+// logLate logs why steps that have waited for a long time are not placed. The
+// caller holds o.mu.
 func (o *Owner) logLate(now sched.Instant) {
 	if t := o.cfg.Clock.Now(); t.Sub(o.lastLateLog) < lateLogInterval {
 		return
@@ -171,8 +173,9 @@
 	return err
 }
 
-// releaseStarts releases the starts whose intents are stored. The caller holds
-// o.mu.
+// releaseStarts selects the starts that may be sent now that their intents are
+// stored, and wakes the loops that wait for ended runs to be stored. The caller
+// holds o.mu.
 func (o *Owner) releaseStarts(w *cycleWork) {
 	w.releasedStarts = o.planner.Release(w.plannedStarts, o.now())
 	if len(w.batch.Keys) > 0 {
@@ -189,7 +192,7 @@
 		s.done <- nil
 	}
 	for _, c := range w.cancellations {
-		if w.unknownJob[c] {
+		if w.jobMissing[c] {
 			c.done <- fault.New(fault.NotFound, fault.NotRun, "no job %q", c.id)
 			continue
 		}
@@ -210,7 +213,7 @@
 	}
 	for tries := 0; ; tries++ {
 		sent := o.cfg.Clock.Now()
-		ctx, cancel := context.WithTimeout(o.ctx, appendTimeout)
+		ctx, cancel := context.WithTimeout(o.ctx, storeTimeout)
 		_, err := o.cfg.Store.Append(ctx, req)
 		cancel()
 		if err == nil {
@@ -229,26 +232,27 @@
 			o.Stop("append refused, another owner is writing: " + string(reason))
 			return false
 		}
-		o.recordFailure(sent, err, tries)
+		o.appendFailed(sent, err, tries)
 		time.Sleep(appendRetryPause)
 	}
 }
 
-// slowAppend is about ten times the usual append latency.
-const slowAppend = 100 * time.Millisecond
+// slowAppendThreshold is about ten times the usual append latency.
+const slowAppendThreshold = 100 * time.Millisecond
 
-// recordLatency records the latency of an append and logs when the store becomes
-// slow or fast again.
+// recordLatency records the latency of the confirmed try of an append. It logs
+// when the store becomes slow or fast again.
 func (o *Owner) recordLatency(d time.Duration, retries int) {
 	o.cfg.Metrics.observeAppend(d, retries)
-	if storeSlow := d > slowAppend; storeSlow != o.storeSlow {
+	if storeSlow := d > slowAppendThreshold; storeSlow != o.storeSlow {
 		o.storeSlow = storeSlow
 		o.log.Info("store speed", "slow", storeSlow, "tookMs", d.Milliseconds(), "tries", retries, "seq", o.nextSeq)
 	}
 }
 
-// recordFailure records an append attempt that failed.
-func (o *Owner) recordFailure(sent time.Time, err error, tries int) {
+// appendFailed handles a failed try of an append. It also sends stops, and rejects
+// the queued submissions during a store outage.
+func (o *Owner) appendFailed(sent time.Time, err error, tries int) {
 	o.mu.Lock()
 	if o.unconfirmedSince.IsZero() {
 		o.unconfirmedSince = sent
@@ -262,7 +266,8 @@
 }
 
 // rejectDuringOutage rejects the queued submissions once an append has been
-// unconfirmed for storeOutageAfter. None of them has been sent to the store.
+// unconfirmed for storeOutageAfter. They have not been sent to the store, but an
+// earlier submission of the same job may have been.
 func (o *Owner) rejectDuringOutage() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -290,7 +295,7 @@
 
 // requestAdvice requests advice and passes the answer to the planner.
 func (o *Owner) requestAdvice(want sched.Want) {
-	ctx, cancel := context.WithTimeout(o.ctx, adviceTimeout+time.Duration(2*want.CostMs)*time.Millisecond)
+	ctx, cancel := context.WithTimeout(o.ctx, adviceExtraTimeout+time.Duration(2*want.CostMs)*time.Millisecond)
 	defer cancel()
 	sent := o.cfg.Clock.Now()
 	a, age, err := o.cfg.AdviceClient.Advise(ctx, want)
@@ -304,6 +309,7 @@
 	o.wakePlanner()
 }
 
-// adviceTimeout is added to twice the expected response time, because the host
-// may still be serving a request of an earlier owner.
-const adviceTimeout = time.Second
+// adviceExtraTimeout is the time that an advice request may take in addition to
+// twice its expected response time: the host that sends it may still be serving a
+// request of an earlier owner.
+const adviceExtraTimeout = time.Second
