--- a/internal/node/gate/advise.go
+++ b/internal/node/gate/advise.go
@@ -19,33 +19,35 @@
 	host *Host
 
 	mu      sync.Mutex
-	busy    map[string]bool
-	retryAt map[string]time.Time // earliest next request through a host after a failure
+	busy    map[string]bool      // hosts with a request in flight, by address
+	retryAt map[string]time.Time // by address: when a host that failed may get the next request
 }
 
 var _ lead.AdviceClient = (*adviceHosts)(nil)
 
 // Limits of advice requests.
 const (
-	longRequestMs     = 150                    // longer requests do not use the hosts reserved for short ones
-	shortRequestHosts = 3                      // one host in three is reserved for short requests
-	maxAnswerAge      = 300 * time.Millisecond // upper bound of the assumed age of a forwarded answer
-	adviceHostPause   = time.Second            // pause of a host after a failed request
+	longRequestMs       = 150                    // longer requests do not use the hosts reserved for short ones
+	shortRequestDivisor = 3                      // one host in this many is reserved for short requests
+	maxAnswerAge        = 300 * time.Millisecond // upper bound of the estimated age of a forwarded answer
+	adviceHostPause     = time.Second            // how long a host gets no requests after a failed one
 )
 
-// available returns the hosts that can take a request, this host last.
+// available returns the free hosts in a fixed order, this host last. If long is
+// set, it leaves out the last third of the hosts, which is reserved for short
+// requests.
 func (d *adviceHosts) available(long bool) []string {
 	addrs := d.host.adviseAddrs()
-	if long && len(addrs) >= shortRequestHosts {
-		addrs = addrs[:len(addrs)-len(addrs)/shortRequestHosts]
+	if long && len(addrs) >= shortRequestDivisor {
+		addrs = addrs[:len(addrs)-len(addrs)/shortRequestDivisor]
 	}
 	now := d.host.clock.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var list []string
-	for _, a := range addrs {
-		if !d.busy[a] && now.After(d.retryAt[a]) {
-			list = append(list, a)
+	for _, addr := range addrs {
+		if !d.busy[addr] && now.After(d.retryAt[addr]) {
+			list = append(list, addr)
 		}
 	}
 	return list
@@ -54,8 +56,8 @@
 // Idle reports whether any host is free.
 func (d *adviceHosts) Idle() bool { return len(d.available(false)) > 0 }
 
-// Take reserves the last free host, so that a short request uses a host reserved
-// for short requests if one is free.
+// Take marks the last free host as busy. The last hosts serve only short requests,
+// so a short request leaves the other hosts free for long ones.
 func (d *adviceHosts) Take(costMs float64) (string, bool) {
 	list := d.available(costMs > longRequestMs)
 	if len(list) == 0 {
@@ -78,7 +80,9 @@
 	}
 }
 
-// Advise sends a request through the host reserved for it and releases that host.
+// Advise sends a request through the host marked busy for it and releases that host.
+// The returned age assumes that the service took w.CostMs to answer. It is 0 for a
+// request sent by this host.
 func (d *adviceHosts) Advise(ctx context.Context, w sched.Want) (a ports.Advice, age time.Duration, err error) {
 	defer func() { d.release(w.Desk, err == nil) }()
 	h := d.host
@@ -89,8 +93,8 @@
 	}
 	sent := h.clock.Now()
 	b, err := frame.Call(ctx, h.pool, w.Desk, adviseMethod, msg)
-	took := h.clock.Now().Sub(sent) - time.Duration(w.CostMs)*time.Millisecond
-	return b.Advice, min(max(took, 0), maxAnswerAge), err
+	sinceAnswer := h.clock.Now().Sub(sent) - time.Duration(w.CostMs)*time.Millisecond
+	return b.Advice, min(max(sinceAnswer, 0), maxAnswerAge), err
 }
 
 // serveAdvise sends a request of the owner to the advice service.
--- a/internal/node/gate/claim.go
+++ b/internal/node/gate/claim.go
@@ -14,12 +14,12 @@
 	"lagooncourse/internal/plat/ports"
 )
 
-// replica is a host's copy of the job records. The owner passes its copy to the
-// planner and starts with an empty one when its ownership ends.
+// replica is a host's copy of the job records. A host that becomes the owner passes
+// its replica to the planner. It starts with an empty one when its ownership ends.
 type replica struct {
 	state      *sched.State
 	lastGrowth time.Time // when the topic was last found to have grown
-	inUse      bool      // in use by a sync or a claim
+	inUse      bool      // in use by a sync, a claim or the owner on this host
 }
 
 func newReplica() *replica { return &replica{state: sched.NewState()} }
@@ -27,10 +27,10 @@
 // Intervals, timeouts and limits of replicas and claims.
 const (
 	replicaSyncInterval = 500 * time.Millisecond
-	replicaTimeout      = 1500 * time.Millisecond
-	newestTimeout       = 5 * time.Second // for up to about 20 pages of 500 keys
+	storeCallTimeout    = 1500 * time.Millisecond // of one read or one append of a claim
+	newestTimeout       = 5 * time.Second         // of reading the newest record of each key: up to about 20 pages of 500 keys
 	claimCheckInterval  = 50 * time.Millisecond
-	claimTries          = 6
+	claimTries          = 6 // of the append of a claim
 	claimRetryPause     = 50 * time.Millisecond
 )
 
@@ -38,7 +38,7 @@
 // gives two hosts that claim at the same time different epochs.
 const epochRandomBits = 10
 
-// nextEpoch returns an epoch higher than last.
+// nextEpoch returns an epoch higher than last. Its random part is never 0.
 func nextEpoch(last int64) int64 {
 	return (last>>epochRandomBits+1)<<epochRandomBits | (1 + rand.Int64N(1<<epochRandomBits-1))
 }
@@ -48,7 +48,7 @@
 	startedAt := h.clock.Now()
 	select {
 	case <-ctx.Done():
-	case <-h.hostsRead:
+	case <-h.hostsLoaded:
 	case <-time.After(startupPingWait):
 	}
 	for ctx.Err() == nil {
@@ -61,20 +61,21 @@
 	}
 }
 
-// shouldSync reports whether this host keeps its replica up to date now. After a
-// power loss of all hosts, the restarted ones (fresh is set) select the standbys
-// from the registered hosts: if all hosts read all records at once, the store
-// takes seconds to serve them.
-func (h *Host) shouldSync(fresh bool) bool {
+// shouldSync reports whether this host is a standby that must update its replica
+// now. If justStarted is set, registered hosts that have not sent a ping yet count
+// as active: otherwise all hosts would read all records at once after a power loss,
+// which takes the store seconds.
+func (h *Host) shouldSync(justStarted bool) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.localOwner != nil || h.replica.inUse {
 		return false
 	}
-	return isStandby(peer{addr: h.addr, power: h.cfg.Power}, h.owner.addr, h.peerList(), fresh, h.clock.Now())
+	return isStandby(peer{addr: h.addr, cpuMillicores: h.cfg.Power}, h.owner.addr, h.peerList(), justStarted, h.clock.Now())
 }
 
-// syncReplica brings the replica up to date. It fails if the replica is in use or
+// syncReplica brings the replica up to date and, if its last claim has a higher
+// epoch, records the new owner and pings it. It fails if the replica is in use or
 // this host is the owner.
 func (h *Host) syncReplica(ctx context.Context) (err error) {
 	h.mu.Lock()
@@ -95,7 +96,7 @@
 	}
 	if c := r.state.Claim; c.Epoch > h.owner.epoch {
 		h.setOwner(c.Epoch, c.Addr, h.assumedContact())
-		go h.ping(context.WithoutCancel(ctx), c.Addr)
+		go h.sendPing(context.WithoutCancel(ctx), c.Addr)
 	}
 	return err
 }
@@ -105,9 +106,10 @@
 const ownerProbeTimeout = 150 * time.Millisecond
 
 // assumedContact returns the assumed time of the last contact with an owner that
-// is known only from the records. After a power loss of all hosts that owner is
-// gone, so a process that has not been in contact with any owner suspects it after
-// ownerProbeTimeout. The caller holds h.mu.
+// is known only from the records. After a power loss of all hosts, that owner no
+// longer runs. A process that has not been in contact with any owner therefore
+// waits for it only for ownerProbeTimeout instead of suspectAfter. The caller holds
+// h.mu.
 func (h *Host) assumedContact() time.Time {
 	now := h.clock.Now()
 	if h.ownerContacted {
@@ -116,16 +118,16 @@
 	return now.Add(ownerProbeTimeout - suspectAfter)
 }
 
-// readRecords applies records up to the offset to, or up to the end of the topic
-// if to is negative.
-func (h *Host) readRecords(ctx context.Context, r *replica, to int64) error {
+// readRecords applies records at least up to offset upTo, or up to the end of the
+// topic if upTo is negative.
+func (h *Host) readRecords(ctx context.Context, r *replica, upTo int64) error {
 	if r.state.Next == 0 {
 		if err := h.readNewest(ctx, r); err != nil {
 			return err
 		}
 	}
 	for {
-		rctx, cancel := context.WithTimeout(ctx, replicaTimeout)
+		rctx, cancel := context.WithTimeout(ctx, storeCallTimeout)
 		page, err := h.store.Read(rctx, ports.ReadRequest{Topic: h.cfg.JobTopic, From: r.state.Next})
 		cancel()
 		var gone *ports.GoneError
@@ -148,7 +150,7 @@
 			h.applyRecord(r.state, rec)
 			r.state.Next = rec.Offset + 1
 		}
-		if len(page.Records) == 0 || r.state.Next >= page.End || to >= 0 && r.state.Next > to {
+		if len(page.Records) == 0 || r.state.Next >= page.End || upTo >= 0 && r.state.Next > upTo {
 			return nil
 		}
 	}
@@ -179,11 +181,11 @@
 }
 
 // claimLoop claims ownership when there is no live owner, and hands ownership over
-// to a much more powerful host.
+// to a host with much more CPU; see strongerPeer.
 func (h *Host) claimLoop(ctx context.Context) {
 	clock.Sleep(ctx, startupPingWait)
 	for ctx.Err() == nil {
-		if h.mayClaim() {
+		if h.shouldClaimNow() {
 			h.tryClaim(ctx)
 		}
 		h.handOverToStronger(ctx)
@@ -191,39 +193,41 @@
 	}
 }
 
-// mayClaim reports whether this host should claim ownership now.
-func (h *Host) mayClaim() bool {
+// shouldClaimNow reports whether this host should claim ownership now. It clears
+// claimRequested.
+func (h *Host) shouldClaimNow() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.localOwner != nil || h.leaving {
 		return false
 	}
 	now := h.clock.Now()
-	c := election{
-		self: h.addr, power: h.cfg.Power, now: now, ownerSilence: now.Sub(h.owner.lastContact), claimRequested: h.claimRequested,
+	e := election{
+		self: h.addr, cpuMillicores: h.cfg.Power, now: now, ownerSilence: now.Sub(h.owner.lastContact), claimRequested: h.claimRequested,
 		topicGrows: now.Sub(h.replica.lastGrowth) < 2*replicaSyncInterval+claimStagger,
 	}
 	if h.owner.addr == "" || h.owner.addr == h.addr {
-		c.ownerSilence += suspectAfter - startupPingWait // no owner is known, so none has to time out
+		e.ownerSilence += suspectAfter - startupPingWait // no other host is known as the owner, so only startupPingWait has to pass
 	}
 	for _, p := range h.peerList() {
 		if !p.lastContact.IsZero() {
-			c.peers = append(c.peers, p)
+			e.peers = append(e.peers, p)
 		}
 	}
 	h.claimRequested = false
-	return c.shouldClaim()
+	return e.shouldClaim()
 }
 
-// handOverAfter is the minimum time of ownership before a handover to a more
+// minOwnershipTime is the minimum time of ownership before a handover to a more
 // powerful host. It lets hosts that start together find each other first.
-const handOverAfter = 1500 * time.Millisecond
+const minOwnershipTime = 1500 * time.Millisecond
 
-// handOverToStronger hands ownership over to a much more powerful host, if any.
+// handOverToStronger hands ownership over to the host that strongerPeer returns, if
+// any.
 func (h *Host) handOverToStronger(ctx context.Context) {
 	h.mu.Lock()
 	now := h.clock.Now()
-	if h.localOwner == nil || h.leaving || now.Sub(h.ownerSince) < handOverAfter {
+	if h.localOwner == nil || h.leaving || now.Sub(h.ownerSince) < minOwnershipTime {
 		h.mu.Unlock()
 		return
 	}
@@ -234,8 +238,8 @@
 	}
 }
 
-// tryClaim brings the replica up to date, appends a claim and, if the claim holds,
-// starts the owner.
+// tryClaim brings the replica up to date and appends a claim. It starts the owner
+// if the topic holds no claim of a higher epoch by then.
 func (h *Host) tryClaim(ctx context.Context) {
 	startedAt := h.clock.Now()
 	h.mu.Lock()
@@ -247,7 +251,7 @@
 	}
 	h.mu.Lock()
 	if h.owner.epoch != knownOwner.epoch && h.owner.addr != h.addr || h.replica.inUse {
-		h.mu.Unlock() // the records hold a claim of another host
+		h.mu.Unlock() // the records hold a claim of another host, or another sync has started
 		return
 	}
 	r := h.replica
@@ -272,8 +276,8 @@
 	h.startOwner(c, r.state)
 }
 
-// appendClaim appends the claim record and retries until the outcome is known or
-// claimTries is reached.
+// appendClaim appends the claim record, at most claimTries times until the store
+// confirms or refuses it.
 func (h *Host) appendClaim(ctx context.Context, c sched.Claim) (offset int64, err error) {
 	key, value, err := sched.ClaimRecord(c)
 	if err != nil {
@@ -281,7 +285,7 @@
 	}
 	req := ports.AppendRequest{Topic: h.cfg.JobTopic, Writer: lead.Writer, Epoch: c.Epoch, Records: []ports.Record{{Key: key, Value: value}}}
 	for try := 0; try < claimTries && ctx.Err() == nil; try++ {
-		actx, cancel := context.WithTimeout(ctx, replicaTimeout)
+		actx, cancel := context.WithTimeout(ctx, storeCallTimeout)
 		offset, err = h.store.Append(actx, req)
 		cancel()
 		if err == nil || definitive(err) {
@@ -292,7 +296,8 @@
 	return offset, err
 }
 
-// startOwner starts the owner. The caller holds h.mu.
+// startOwner starts the owner from s and announces it to the peers. When ownership
+// ends, it resets the replica. The caller holds h.mu.
 func (h *Host) startOwner(c sched.Claim, s *sched.State) {
 	o := lead.Start(lead.Config{
 		Claim: c, JobTopic: h.cfg.JobTopic, State: s, Store: h.store, Workers: h.cfg.Workers, AdviceClient: h.adviceHosts,
@@ -312,12 +317,12 @@
 			h.localOwner = nil
 			h.replica = newReplica()
 			h.owner.lastContact = h.clock.Now() // gives the new owner time to make contact
-			h.ownerChanged()
+			h.wakeOwnerWaiters()
 		}
 	}()
 }
 
-// announce sends a heartbeat that names the new owner to all peers.
+// announce pings all peers, which makes the new owner known to them.
 func (h *Host) announce() {
 	h.mu.Lock()
 	var addrs []string
@@ -326,13 +331,13 @@
 	}
 	h.mu.Unlock()
 	for _, addr := range addrs {
-		go h.ping(context.Background(), addr)
+		go h.sendPing(context.Background(), addr)
 	}
 }
 
 // leaveAndHandOver deletes this host's registration and hands ownership over.
 func (h *Host) leaveAndHandOver(ctx context.Context) {
-	_ = h.writeHostEntry(ctx, nil) // on failure, peers detect the stop by missing heartbeats
+	_ = h.writeHostEntry(ctx, nil) // on failure, peers detect the stop by missing pings
 	h.transferOwnership(ctx, h.handoverCandidates(), "the process is shutting down")
 }
 
@@ -344,8 +349,8 @@
 	return handoverCandidates(h.peerList(), h.clock.Now())
 }
 
-// transferOwnership stops the owner on this host and asks the hosts in order to
-// claim ownership, until one answers.
+// transferOwnership stops the owner on this host, then asks the given hosts one
+// after another to claim ownership, until one answers.
 func (h *Host) transferOwnership(ctx context.Context, addrs []string, reason string) {
 	h.mu.Lock()
 	o := h.localOwner
@@ -360,8 +365,8 @@
 		return
 	}
 	for _, addr := range addrs {
-		msg := h.self()
-		msg.Claim, msg.Owner, msg.OwnerAgeMs = true, "", time.Hour.Milliseconds()
+		msg := h.newPing()
+		msg.Claim, msg.Owner, msg.OwnerAgeMs = true, "", time.Hour.Milliseconds() // no owner, no recent contact with one
 		rctx, cancel := context.WithTimeout(ctx, pingTimeout)
 		_, err := frame.Call(rctx, h.pool, addr, pingMethod, msg)
 		cancel()
--- a/internal/node/gate/cluster_test.go
+++ b/internal/node/gate/cluster_test.go
@@ -36,7 +36,7 @@
 	startedAt time.Time
 }
 
-// testCodec uses a request format that differs from the users' platform.
+// testCodec uses a request format of its own, not that of the users' platform.
 var testCodec = Codec{
 	Job: func(id string, body []byte) (s sched.Spec, err error) {
 		if err := json.Unmarshal(body, &s); err != nil {
@@ -222,8 +222,8 @@
 	})
 }
 
-// check fails the test if the workers have detected a violated invariant.
-func (c *cluster) check() {
+// checkInvariants fails the test if the workers have detected a violated invariant.
+func (c *cluster) checkInvariants() {
 	c.t.Helper()
 	assert.DeepEqual(c.t, c.farm.Broken(), []string(nil))
 }
@@ -242,7 +242,9 @@
 	})
 }
 
-func TestServe(t *testing.T) {
+// TestSubmitThroughAnyHost checks that any host accepts a submission, that repeating
+// it has no effect, and that any host reports the job's state.
+func TestSubmitThroughAnyHost(t *testing.T) {
 	c := newCluster(t, 3)
 	c.awaitReady()
 	for i := range 3 {
@@ -252,10 +254,11 @@
 		c.awaitState((i+2)%3, id, "completed", 5*time.Second)
 	}
 	assert.Equal(t, c.farm.Starts(), 6)
-	c.check()
+	c.checkInvariants()
 }
 
-func TestBadCalls(t *testing.T) {
+// TestInvalidRequests checks the status codes of invalid requests.
+func TestInvalidRequests(t *testing.T) {
 	c := newCluster(t, 2)
 	c.awaitReady()
 	for _, x := range []struct {
@@ -296,7 +299,7 @@
 		c.awaitState((old+1)%3, fmt.Sprintf("k%d", i), "completed", 10*time.Second)
 	}
 	assert.Equal(t, c.farm.Starts(), 20, "no task ran twice")
-	c.check()
+	c.checkInvariants()
 }
 
 // TestAllRestart kills and restarts all hosts. The accepted jobs complete from the
@@ -316,7 +319,7 @@
 	for i := range 6 {
 		c.awaitState(i%3, fmt.Sprintf("r%d", i), "completed", 15*time.Second)
 	}
-	c.check()
+	c.checkInvariants()
 }
 
 // TestStoreRefusesOwner checks that the owner keeps ownership and writes through
@@ -333,7 +336,7 @@
 			}
 			c.awaitState(old, "a3", "completed", 8*time.Second)
 			assert.Equal(t, c.owner(), old, "the owner keeps ownership")
-			c.check()
+			c.checkInvariants()
 		})
 	}
 }
@@ -363,7 +366,7 @@
 		status, body := c.call(1, "GET", "/q/"+id, "")
 		assert.Equal(t, status, 410, "%s was rejected as not run: %s", id, body)
 	}
-	c.check()
+	c.checkInvariants()
 }
 
 // TestLostAnswers checks that retried appends do not store or start anything twice.
@@ -379,7 +382,7 @@
 		c.awaitState(0, fmt.Sprintf("l%d", i), "completed", 10*time.Second)
 	}
 	assert.Equal(t, c.farm.Starts(), 40)
-	c.check()
+	c.checkInvariants()
 }
 
 // TestGracefulStop checks that stopping the owner hands ownership over and rejects
@@ -404,7 +407,7 @@
 	c.hosts[old] = nil
 	c.awaitState(other, "g0", "completed", 5*time.Second)
 	c.awaitState(other, "h9", "completed", 5*time.Second)
-	c.check()
+	c.checkInvariants()
 }
 
 // TestZoneOutOfService checks that a zone taken out of service reaches the planner's
@@ -420,7 +423,7 @@
 	c.awaitState(0, "z0", "running", 3*time.Second)
 	c.store.Put("op", "out/x", nil)
 	polls.Until(t, 3*time.Second, "the zone is in service again", func() bool { return !c.hosts[0].site.view().Closed["x"] })
-	c.check()
+	c.checkInvariants()
 }
 
 // TestUnconfirmedSubmission repeats a submission whose record may have reached the
@@ -438,5 +441,5 @@
 	c.awaitState(0, "x", "completed", 8*time.Second)
 	status, _ := c.call(0, "GET", "/q/y", "")
 	assert.Equal(t, status, 410)
-	c.check()
+	c.checkInvariants()
 }
--- a/internal/node/gate/front.go
+++ b/internal/node/gate/front.go
@@ -15,13 +15,13 @@
 
 // Timeouts and limits of a client request.
 const (
-	defaultDeadline    = 3 * time.Second
-	responseMargin     = 300 * time.Millisecond  // for the response to reach the client before its deadline
-	ownerWait          = 1500 * time.Millisecond // longer than a normal takeover
-	forwardTimeout     = 1200 * time.Millisecond // of one forwarded call
-	forwardPause       = 50 * time.Millisecond
-	defaultBodyLimit   = 256 << 10 // bytes
-	takeoverRetryAfter = 1         // Retry-After in seconds
+	defaultClientTimeout = 3 * time.Second         // if the request states none
+	responseMargin       = 300 * time.Millisecond  // for the response to reach the client before its deadline
+	ownerWait            = 1500 * time.Millisecond // how long a request waits for an owner; longer than a normal takeover
+	forwardTimeout       = 1200 * time.Millisecond // of one forwarded call
+	forwardPause         = 50 * time.Millisecond
+	defaultBodyLimit     = 256 << 10 // bytes
+	retryAfterSeconds    = 1         // Retry-After in seconds
 )
 
 // serveAPI serves a client request.
@@ -32,13 +32,13 @@
 	c, err := h.parseCall(r)
 	var a callAnswer
 	if err == nil {
-		a, err = h.dispatch(r.Context(), c, h.deadline(r))
+		a, err = h.dispatch(r.Context(), c, h.clientTimeout(r))
 	}
 	if h.isLeaving() {
 		w.Header().Set("Connection", "close")
 	}
 	status := h.reply(w, c, a, err)
-	h.metrics.request(c.Kind, status, h.clock.Now().Sub(startedAt))
+	h.metrics.observeRequest(c.Kind, status, h.clock.Now().Sub(startedAt))
 	if err != nil && c.Kind != callStatus && c.Kind != callPending {
 		h.log.Info("refused", "job", c.ID, "status", status, "err", err.Error(), "site", c.SiteNext)
 	}
@@ -50,18 +50,18 @@
 	return h.leaving
 }
 
-// deadline returns how long the client waits for the response.
-func (h *Host) deadline(r *http.Request) time.Duration {
+// clientTimeout returns how long the client waits for the response.
+func (h *Host) clientTimeout(r *http.Request) time.Duration {
 	if d := h.cfg.Codec.Deadline(r.Header); d > 0 {
 		return d
 	}
-	return defaultDeadline
+	return defaultClientTimeout
 }
 
-// parseCall validates a request and converts it to a call to the owner.
+// parseCall validates a client request and converts it to a call to the owner.
 func (h *Host) parseCall(r *http.Request) (c callMsg, err error) {
 	if !h.site.ready() {
-		return c, fault.New(fault.Unavailable, fault.NotRun, "no configuration is known yet").WithRetryAfter(takeoverRetryAfter)
+		return c, fault.New(fault.Unavailable, fault.NotRun, "no configuration is known yet").WithRetryAfter(retryAfterSeconds)
 	}
 	c.SiteNext = h.site.offset()
 	q, ok := h.site.route(r.Host, r.URL.Path)
@@ -116,22 +116,23 @@
 	return c, nil
 }
 
-// dispatch sends a call to the owner, on this host or another, and retries it
-// while the owner is unavailable. All calls are idempotent: a submission carries
-// the job ID. If any try may have reached an owner, the call fails with outcome
-// Unknown, never NotRun.
+// dispatch sends a call to the owner, on this host or another, and retries it for
+// up to ownerWait while no owner is available. An error with a Retry-After value
+// ends the retries, unless it is NotOwner. All calls are idempotent: a submission
+// carries the job ID. If any try may have reached an owner, the call fails with
+// outcome Unknown, never NotRun.
 func (h *Host) dispatch(ctx context.Context, c callMsg, wait time.Duration) (a callAnswer, err error) {
 	startedAt := h.clock.Now()
 	ctx, cancel := context.WithTimeout(ctx, max(wait-responseMargin, responseMargin))
 	defer cancel()
-	unknown := false
+	mayHaveRun := false
 	for {
 		a, err = h.tryOnce(ctx, c)
 		e := fault.From(err)
 		if err == nil || !retryable(e) {
 			return a, err
 		}
-		unknown = unknown || e.Ran != fault.NotRun
+		mayHaveRun = mayHaveRun || e.Ran != fault.NotRun
 		h.mu.Lock()
 		ownerCh := h.ownerCh
 		h.mu.Unlock()
@@ -146,11 +147,11 @@
 		}
 		t.Stop()
 	}
-	if unknown {
+	if mayHaveRun {
 		return a, fault.New(fault.Timeout, fault.Unknown, "no owner has confirmed the request")
 	}
 	e := fault.From(err)
-	return a, fault.New(fault.Unavailable, fault.NotRun, "%s", e.Detail).WithRetryAfter(max(e.RetryAfter, takeoverRetryAfter))
+	return a, fault.New(fault.Unavailable, fault.NotRun, "%s", e.Detail).WithRetryAfter(max(e.RetryAfter, retryAfterSeconds))
 }
 
 // retryable reports whether a retry, perhaps at another owner, may succeed.
--- a/internal/node/gate/host.go
+++ b/internal/node/gate/host.go
@@ -1,16 +1,16 @@
 // Package gate implements the daemon of an entry host on the users' platform. It
-// serves client requests, applies the operators' configuration, exchanges
-// heartbeats with the other entry hosts and elects the owner of the jobs.
+// serves client requests, applies the operators' configuration, exchanges pings
+// with the other entry hosts and elects the owner of the jobs.
 //
 // All entry hosts run the same code. A host that is not the owner validates client
 // requests and forwards them to the owner. It also sends advice requests for the
 // owner and relays the owner's store calls when the store refuses or does not
-// answer the owner. The hosts next in the takeover order keep a replica of the job
+// answer the owner. The first hosts in the takeover order keep a replica of the job
 // records, so that a takeover needs little more than the claim itself.
 //
 // A host becomes the owner by appending a claim record with an epoch above all
 // earlier ones. The store refuses appends of lower epochs and workers refuse
-// orders with lower fencing tokens, so an owner that has missed its replacement
+// orders with lower fencing tokens, so a replaced owner that still runs
 // cannot change anything.
 //
 // # Usage
@@ -42,14 +42,14 @@
 	"lagooncourse/internal/plat/ports"
 )
 
-// Codec decodes client requests and encodes responses.
+// Codec reads client requests and encodes responses.
 type Codec struct {
 	Job      func(id string, body []byte) (sched.Spec, error)
-	JobID    func(id string) error // validates a job ID
-	Key      func(http.Header) string
+	JobID    func(id string) error           // validates a job ID
+	Key      func(http.Header) string        // API key of a request
 	Deadline func(http.Header) time.Duration // how long the client waits; 0 if not given
 	State    func(sched.Status) ([]byte, error)
-	Pending  func(int) ([]byte, error)
+	Pending  func(int) ([]byte, error) // response with a number of pending jobs
 }
 
 // Config configures a Host.
@@ -69,11 +69,11 @@
 	Adviser ports.Adviser
 	Codec   Codec
 
-	OperatorTopic string
-	WorkerTopic   string
-	JobTopic      string
-	HostTopic     string
-	ParseSite     func([]byte) (ports.Site, error)
+	OperatorTopic string                           // operators' configuration
+	WorkerTopic   string                           // worker registry
+	JobTopic      string                           // job records
+	HostTopic     string                           // registrations of the entry hosts
+	ParseSite     func([]byte) (ports.Site, error) // decodes the configuration
 	ParseOperator func(key string) ports.OperatorKey
 	ParseWorker   func(key string, value []byte) (sched.WorkerInfo, error)
 	WorkerID      func(key string) string
@@ -95,22 +95,22 @@
 	pool        *frame.Pool
 	peerServer  *frame.Server
 	apiServer   *httpd.Server
-	auxServers  []*httpd.Server
+	auxServers  []*httpd.Server // readiness check and metrics
 	adviceHosts *adviceHosts
 	reg         *prometheus.Registry
 	metrics     *metrics
 	leadMetrics *lead.Metrics
 
-	cancel    context.CancelFunc
-	loops     sync.WaitGroup
-	hostsRead chan struct{} // closed after the registered hosts were first read from the store
-	inFlight  atomic.Int64
+	cancel      context.CancelFunc
+	loops       sync.WaitGroup
+	hostsLoaded chan struct{} // closed after the first successful read of the host registrations
+	inFlight    atomic.Int64
 
 	mu             sync.Mutex
 	peers          map[string]*peer
-	owner          ownerInfo
+	owner          ownerInfo // the last known owner, on this host or another
 	ownerContacted bool      // this process has been in contact with an owner
-	ownerSince     time.Time // when this host became the owner
+	ownerSince     time.Time // when this host last became the owner
 	leaving        bool      // this host is shutting down
 	claimRequested bool      // the owner has asked this host to take over
 	replica        *replica
@@ -128,7 +128,7 @@
 		cfg: cfg, log: cfg.Logger.WithName("gate").WithValues("host", cfg.Host), clock: cfg.Clock,
 		addr: net.JoinHostPort(cfg.IP, strconv.Itoa(cfg.PeerPort)), site: newSiteState(),
 		pool: frame.NewPool(frame.PoolConfig{}), peers: map[string]*peer{}, ownerCh: make(chan struct{}),
-		replica: newReplica(), hostsRead: make(chan struct{}), reg: prometheus.NewRegistry(),
+		replica: newReplica(), hostsLoaded: make(chan struct{}), reg: prometheus.NewRegistry(),
 	}
 	h.owner.lastContact = cfg.Clock.Now()
 	h.store = &relayStore{direct: cfg.Store, host: h}
@@ -227,8 +227,8 @@
 	return !h.leaving && (h.localOwner != nil || h.owner.addr != "" && h.clock.Now().Sub(h.owner.lastContact) < readyMaxAge)
 }
 
-// Reload logs that new settings have no effect while the process runs. Operators'
-// changes arrive through the store.
+// Reload applies nothing: new settings take effect at a restart. It logs whether
+// listen addresses have changed. Operators' changes arrive through the store.
 func (h *Host) Reload(cfg Config) {
 	if cfg.Listen != h.cfg.Listen || cfg.PeerPort != h.cfg.PeerPort {
 		h.log.Info("new settings ignored", "reason", "listen addresses change only with a restart", "listen", cfg.Listen, "peerPort", cfg.PeerPort)
@@ -253,8 +253,8 @@
 	return err
 }
 
-// drainTime is how long the load balancer may still send new connections: two
-// failed checks at an interval of one second.
+// drainTime is how long the load balancer may still send new connections: until
+// two checks at an interval of one second have failed, plus 300 ms.
 const drainTime = 2300 * time.Millisecond
 
 // drain waits for drainTime and until no request is in flight.
--- a/internal/node/gate/member.go
+++ b/internal/node/gate/member.go
@@ -18,7 +18,8 @@
 	hostsTimeout       = time.Second
 )
 
-// hostsLoop registers this host in the store and polls the registered hosts.
+// hostsLoop registers this host in the store and polls the registrations of the
+// other hosts.
 func (h *Host) hostsLoop(ctx context.Context) {
 	next, registered, loaded := int64(-1), false, false
 	for ctx.Err() == nil {
@@ -29,7 +30,7 @@
 		next = n
 		if err == nil && !loaded {
 			loaded = true
-			close(h.hostsRead)
+			close(h.hostsLoaded)
 		}
 		pause := hostsPollInterval
 		if err != nil || !registered {
@@ -95,7 +96,8 @@
 	return next, nil
 }
 
-// applyHosts adds and removes peers.
+// applyHosts adds peers for new registrations and removes those whose registration
+// was deleted. It does not update known peers.
 func (h *Host) applyHosts(records []ports.Record) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -110,39 +112,41 @@
 				h.log.Info("ignoring invalid host registration", "peer", r.Key, "err", err.Error())
 				continue
 			}
-			h.peers[r.Key] = &peer{addr: r.Key, az: e.Az, power: e.Power}
+			h.peers[r.Key] = &peer{addr: r.Key, az: e.Az, cpuMillicores: e.Power}
 		}
 	}
 }
 
-// pingLoop sends heartbeats to peers.
+// pingLoop sends pings to peers.
 func (h *Host) pingLoop(ctx context.Context) {
 	round := 0
 	for ctx.Err() == nil {
 		for _, addr := range h.pingAddrs(round) {
-			go h.ping(ctx, addr)
+			go h.sendPing(ctx, addr)
 		}
 		round++
 		clock.Sleep(ctx, pingInterval)
 	}
 }
 
-// pingAllRounds is the number of rounds between heartbeats to all peers. They keep
-// the list of live peers up to date for a takeover.
+// pingAllRounds is the interval, in rounds, between pings to all peers. These pings
+// keep the list of live peers up to date for a takeover.
 const pingAllRounds = 5
 
-// pingSilentRounds is the number of rounds, about 5 s, between heartbeats to peers
-// that have been silent for longer than silentPeerAge.
+// pingSilentRounds is the interval, in rounds, between pings to peers that have been
+// silent for longer than silentPeerAge: 5 s.
 const pingSilentRounds = 25
 
-// pingAddrs returns the peers to ping in a round. Every pingAllRounds rounds, and
-// without recent contact with the owner in every round, these are all peers. In the
-// other rounds they are the owner only, or none if this host is the owner.
+// pingAddrs returns the peers to ping in a round. The owner pings all peers every
+// pingAllRounds rounds and none in between. Another host does the same, but pings
+// the owner in between, and all peers in every round if it has had no recent contact
+// with the owner. Peers that have been silent for silentPeerAge are pinged only
+// every pingSilentRounds rounds.
 func (h *Host) pingAddrs(round int) []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	silent := h.clock.Now().Sub(h.owner.lastContact)
-	if h.localOwner == nil && h.owner.addr != "" && h.owner.addr != h.addr && silent < suspectAfter/2 && round%pingAllRounds != 0 {
+	ownerSilence := h.clock.Now().Sub(h.owner.lastContact)
+	if h.localOwner == nil && h.owner.addr != "" && h.owner.addr != h.addr && ownerSilence < suspectAfter/2 && round%pingAllRounds != 0 {
 		return []string{h.owner.addr}
 	}
 	if h.localOwner != nil && round%pingAllRounds != 0 {
@@ -158,8 +162,8 @@
 	return list
 }
 
-// self returns the heartbeat of this host.
-func (h *Host) self() ping {
+// newPing returns a ping with the state of this host.
+func (h *Host) newPing() ping {
 	site := h.site.offset()
 	storeOK := h.store.healthy()
 	h.mu.Lock()
@@ -174,11 +178,11 @@
 	return p
 }
 
-// ping sends a heartbeat to a peer and processes its answer.
-func (h *Host) ping(ctx context.Context, addr string) {
+// sendPing sends a ping to a peer and processes the answer.
+func (h *Host) sendPing(ctx context.Context, addr string) {
 	ctx, cancel := context.WithTimeout(ctx, pingTimeout)
 	defer cancel()
-	a, err := frame.Call(ctx, h.pool, addr, pingMethod, h.self())
+	a, err := frame.Call(ctx, h.pool, addr, pingMethod, h.newPing())
 	if err != nil {
 		if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 			h.pool.Drop(addr) // the connection may be dead
@@ -188,37 +192,37 @@
 	h.processPing(ctx, a)
 }
 
-// servePing processes a peer's heartbeat and answers with this host's.
-func (h *Host) servePing(ctx context.Context, p ping) (ping, error) {
-	h.processPing(context.WithoutCancel(ctx), p)
-	if p.Claim {
+// servePing processes a peer's ping and answers with this host's.
+func (h *Host) servePing(ctx context.Context, msg ping) (ping, error) {
+	h.processPing(context.WithoutCancel(ctx), msg)
+	if msg.Claim {
 		h.mu.Lock()
 		h.claimRequested = true
 		h.mu.Unlock()
 	}
-	return h.self(), nil
+	return h.newPing(), nil
 }
 
-// processPing updates the peer and the owner from a peer's heartbeat.
-func (h *Host) processPing(ctx context.Context, a ping) {
+// processPing updates the peer and the owner from a peer's ping or its answer.
+func (h *Host) processPing(ctx context.Context, msg ping) {
 	now := h.clock.Now()
 	h.mu.Lock()
-	p := h.peers[a.Addr]
+	p := h.peers[msg.Addr]
 	if p == nil {
-		p = &peer{addr: a.Addr, az: a.Az}
-		h.peers[a.Addr] = p
+		p = &peer{addr: msg.Addr, az: msg.Az}
+		h.peers[msg.Addr] = p
 	}
-	p.power, p.lastContact, p.leaving, p.ownerAddr, p.storeOK = a.Power, now, a.Leaving, a.Owner, a.StoreOK
-	p.ownerAge = time.Duration(a.OwnerAgeMs) * time.Millisecond
-	if a.Epoch > h.owner.epoch && a.Owner != "" {
-		h.setOwner(a.Epoch, a.Owner, now.Add(-p.ownerAge))
+	p.cpuMillicores, p.lastContact, p.leaving, p.ownerAddr, p.storeOK = msg.Power, now, msg.Leaving, msg.Owner, msg.StoreOK
+	p.ownerAge = time.Duration(msg.OwnerAgeMs) * time.Millisecond
+	if msg.Epoch > h.owner.epoch && msg.Owner != "" {
+		h.setOwner(msg.Epoch, msg.Owner, now.Add(-p.ownerAge))
 	}
-	if a.Epoch == h.owner.epoch && a.Owner == a.Addr && a.OwnerAgeMs == 0 {
+	if msg.Epoch == h.owner.epoch && msg.Owner == msg.Addr && msg.OwnerAgeMs == 0 {
 		h.owner.lastContact, h.ownerContacted = now, true
 	}
 	h.mu.Unlock()
-	if a.SiteNext > h.site.offset() {
-		go h.fetchSite(ctx, a.Addr)
+	if msg.SiteNext > h.site.offset() {
+		go h.fetchSite(ctx, msg.Addr)
 	}
 }
 
@@ -230,12 +234,12 @@
 	if h.localOwner != nil && addr != h.addr {
 		h.localOwner.Stop("a peer has claimed a higher epoch")
 	}
-	h.ownerChanged()
+	h.wakeOwnerWaiters()
 	h.log.Info("owner", "epoch", epoch, "addr", addr)
 }
 
-// ownerChanged wakes the requests that wait for an owner. The caller holds h.mu.
-func (h *Host) ownerChanged() {
+// wakeOwnerWaiters wakes the requests that wait for an owner. The caller holds h.mu.
+func (h *Host) wakeOwnerWaiters() {
 	close(h.ownerCh)
 	h.ownerCh = make(chan struct{})
 }
@@ -262,9 +266,9 @@
 		}
 	}
 	sort.Slice(list, func(a, b int) bool {
-		near := list[a].az == h.cfg.Az
-		if near != (list[b].az == h.cfg.Az) {
-			return near
+		sameAz := list[a].az == h.cfg.Az
+		if sameAz != (list[b].az == h.cfg.Az) {
+			return sameAz
 		}
 		return list[a].lastContact.After(list[b].lastContact)
 	})
--- a/internal/node/gate/metrics.go
+++ b/internal/node/gate/metrics.go
@@ -15,7 +15,8 @@
 	requests *prometheus.HistogramVec
 }
 
-// requestBuckets range up to the usual client deadline, in seconds.
+// requestBuckets are the bucket limits in seconds. They cover the usual client
+// deadline.
 var requestBuckets = []float64{.002, .005, .01, .025, .05, .1, .25, .5, 1, 2, 3, 5}
 
 func newMetrics(reg *prometheus.Registry) *metrics {
@@ -26,14 +27,15 @@
 	return m
 }
 
-// kindNames are the label values of callKind.
+// kindNames are the label values, indexed by callKind.
 var kindNames = [...]string{"submit", "status", "cancel", "pending"}
 
-func (m *metrics) request(k callKind, status int, d time.Duration) {
+// observeRequest records the duration and the status of a client request.
+func (m *metrics) observeRequest(k callKind, status int, d time.Duration) {
 	m.requests.WithLabelValues(kindNames[k], strconv.Itoa(status)).Observe(d.Seconds())
 }
 
-// dump is the state of a host for operators.
+// dump is the document of the /dump endpoint: the state of a host for operators.
 type dump struct {
 	Host        string     `json:"host"`
 	Owner       string     `json:"owner"`
@@ -60,7 +62,7 @@
 	now := h.clock.Now()
 	d := dump{Host: h.cfg.Host}
 	h.site.mu.Lock()
-	d.SiteVersion, d.SiteAgeMs = h.site.site.Version, now.Sub(h.site.lastUpdate).Milliseconds()
+	d.SiteVersion, d.SiteAgeMs = h.site.site.Version, now.Sub(h.site.lastRead).Milliseconds()
 	h.site.mu.Unlock()
 	h.mu.Lock()
 	d.Owner, d.Epoch, d.OwnerAgeMs, d.IsOwner = h.owner.addr, h.owner.epoch, now.Sub(h.owner.lastContact).Milliseconds(), h.localOwner != nil
--- a/internal/node/gate/peers.go
+++ b/internal/node/gate/peers.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// peer is the state of another entry host, from its heartbeats.
+// peer is the state of another entry host, from its registration and its pings.
 type peer struct {
-	addr        string
-	az          string
-	lastContact time.Time // last heartbeat; zero if there was none
-	leaving     bool
-	power       int64 // millicores
-	ownerAddr   string
-	ownerAge    time.Duration // age of its last contact with the owner at that heartbeat
-	storeOK     bool
+	addr          string
+	az            string
+	lastContact   time.Time // last ping or answer from it; zero if there was none
+	leaving       bool
+	cpuMillicores int64         // CPU limit in millicores
+	ownerAddr     string        // owner according to its last ping
+	ownerAge      time.Duration // time since its last contact with the owner, as of its last ping
+	storeOK       bool
 }
 
 // ownerInfo is the current owner of the jobs as seen by this host.
@@ -24,23 +24,23 @@
 	lastContact time.Time // last contact with the owner, direct or reported by a peer
 }
 
-// Intervals and timeouts of membership and election.
+// Intervals and timeouts of pings and of the election.
 const (
 	pingInterval       = 200 * time.Millisecond
 	pingTimeout        = 500 * time.Millisecond
-	suspectAfter       = 800 * time.Millisecond // four heartbeats
-	claimStagger       = 400 * time.Millisecond // longer than a claim takes
-	ownerContactWindow = 700 * time.Millisecond // a peer's contact with the owner within this time prevents a claim
-	isolatedClaimDelay = 2500 * time.Millisecond
-	silentPeerAge      = 60 * time.Second // peers silent for longer are pinged less often
-	livePeerAge        = 900 * time.Millisecond
-	startupPingWait    = 250 * time.Millisecond // time to find the owner before the first claim
+	suspectAfter       = 800 * time.Millisecond  // without contact for this long, the owner is considered dead: four pings
+	claimStagger       = 400 * time.Millisecond  // delay between neighbors in the takeover order; longer than a claim usually takes
+	ownerContactWindow = 700 * time.Millisecond  // a peer's contact with the owner within this time prevents a claim
+	isolatedClaimDelay = 2500 * time.Millisecond // silence of the owner after which a host without contact to any peer may claim
+	silentPeerAge      = 60 * time.Second        // peers silent for longer are pinged less often
+	livePeerAge        = 900 * time.Millisecond  // maximum age of the last ping of a peer that counts in an election or gets ownership as a stronger host
+	startupPingWait    = 250 * time.Millisecond  // time to find the owner before the first claim
 )
 
 // election holds the inputs of the decision to claim ownership.
 type election struct {
 	self           string
-	power          int64 // millicores of this host
+	cpuMillicores  int64 // CPU limit of this host in millicores
 	now            time.Time
 	ownerSilence   time.Duration // since the last contact with the owner
 	peers          []peer
@@ -54,21 +54,21 @@
 //
 // A host without contact to any peer may be the isolated one. It claims only after
 // isolatedClaimDelay, and only if the topic has not grown recently.
-func (c election) shouldClaim() bool {
-	if c.claimRequested {
+func (e election) shouldClaim() bool {
+	if e.claimRequested {
 		return true
 	}
-	if c.ownerSilence < suspectAfter {
+	if e.ownerSilence < suspectAfter {
 		return false
 	}
-	live := []peer{{addr: c.self, power: c.power}}
+	live := []peer{{addr: e.self, cpuMillicores: e.cpuMillicores}}
 	known := 0
-	for _, p := range c.peers {
+	for _, p := range e.peers {
 		known++
-		if c.now.Sub(p.lastContact) > livePeerAge {
+		if e.now.Sub(p.lastContact) > livePeerAge {
 			continue
 		}
-		if p.ownerAddr != "" && p.ownerAge < ownerContactWindow && p.ownerAddr != c.self {
+		if p.ownerAddr != "" && p.ownerAge < ownerContactWindow && p.ownerAddr != e.self {
 			return false
 		}
 		if !p.leaving {
@@ -76,15 +76,16 @@
 		}
 	}
 	if known > 0 && len(live) == 1 {
-		return c.ownerSilence > isolatedClaimDelay && !c.topicGrows
+		return e.ownerSilence > isolatedClaimDelay && !e.topicGrows
 	}
-	return c.ownerSilence >= suspectAfter+time.Duration(rankOf(c.self, live))*claimStagger
+	return e.ownerSilence >= suspectAfter+time.Duration(rankOf(e.self, live))*claimStagger
 }
 
-// rankOf returns a host's position in the takeover order. The most powerful host
-// is first, since a small host cannot handle the orders of a large fleet.
+// rankOf sorts hosts by the takeover order and returns a host's position in it. The
+// host with the most CPU is first, since one with little CPU cannot handle the
+// orders of a large fleet.
 func rankOf(self string, hosts []peer) int {
-	sortByPower(hosts)
+	sortByCPU(hosts)
 	for i, p := range hosts {
 		if p.addr == self {
 			return i
@@ -93,21 +94,23 @@
 	return len(hosts)
 }
 
-// sortByPower sorts hosts by descending power, then by address.
-func sortByPower(hosts []peer) {
+// sortByCPU sorts hosts by descending CPU limit, then by address.
+func sortByCPU(hosts []peer) {
 	sort.Slice(hosts, func(a, b int) bool {
-		if hosts[a].power != hosts[b].power {
-			return hosts[a].power > hosts[b].power
+		if hosts[a].cpuMillicores != hosts[b].cpuMillicores {
+			return hosts[a].cpuMillicores > hosts[b].cpuMillicores
 		}
 		return hosts[a].addr < hosts[b].addr
 	})
 }
 
-// recentPeerAge is the maximum age of the last heartbeat of a peer that counts as
-// live outside an election: two rounds of heartbeats to all peers.
+// recentPeerAge is the maximum age of the last ping of an active peer: two rounds of
+// pings to all peers. Elections, and handovers to a more powerful host, use
+// livePeerAge instead.
 const recentPeerAge = 2 * pingAllRounds * pingInterval
 
-// isActive reports whether the peer is live and not shutting down.
+// isActive reports whether the last ping of the peer is newer than recentPeerAge and
+// the peer is not shutting down.
 func (p peer) isActive(now time.Time) bool {
 	return !p.leaving && now.Sub(p.lastContact) < recentPeerAge
 }
@@ -121,44 +124,45 @@
 			list = append(list, p)
 		}
 	}
-	sortByPower(list)
+	sortByCPU(list)
 	for _, p := range list {
 		addrs = append(addrs, p.addr)
 	}
 	return addrs
 }
 
-// standbyHosts is the number of hosts besides the owner that keep a replica of the
+// standbyCount is the number of hosts besides the owner that keep a replica of the
 // job records: one more than the number of simultaneous host failures to tolerate.
 // Any other host reads all records when it claims.
-const standbyHosts = 3
+const standbyCount = 3
 
-// isStandby reports whether a host is among the first standbyHosts in the takeover
+// isStandby reports whether a host is among the first standbyCount in the takeover
 // order. Only these hosts read the job records: on a 10 Mbit/s link, reading them
-// twice per second delays other traffic by 140 ms. If fresh is set, this host has
-// just started, and peers without a heartbeat count as live.
-func isStandby(self peer, owner string, peers []peer, fresh bool, now time.Time) bool {
+// twice per second delays other traffic by 140 ms. If justStarted is set, peers that
+// have not sent a ping yet count as active.
+func isStandby(self peer, owner string, peers []peer, justStarted bool, now time.Time) bool {
 	list := []peer{self}
 	for _, p := range peers {
-		if p.addr != owner && (p.isActive(now) || fresh && p.lastContact.IsZero()) {
+		if p.addr != owner && (p.isActive(now) || justStarted && p.lastContact.IsZero()) {
 			list = append(list, p)
 		}
 	}
-	return rankOf(self.addr, list) < standbyHosts
+	return rankOf(self.addr, list) < standbyCount
 }
 
-// handoverPowerRatio is the minimum ratio of a host's power to the owner's power
-// for a handover to that host.
-const handoverPowerRatio = 2
+// handoverCPURatio is the minimum ratio of a host's CPU limit to the owner's for a
+// handover to that host.
+const handoverCPURatio = 2
 
-// strongerPeer returns the most powerful live peer if the owner should hand over to
-// it.
-func strongerPeer(power int64, peers []peer, now time.Time) (addr string, ok bool) {
+// strongerPeer returns the peer with the most CPU, and whether the owner should hand
+// over to it. Only peers within livePeerAge that reach the store and are not shutting
+// down count.
+func strongerPeer(cpuMillicores int64, peers []peer, now time.Time) (addr string, ok bool) {
 	var best peer
 	for _, p := range peers {
-		if now.Sub(p.lastContact) < livePeerAge && !p.leaving && p.storeOK && (p.power > best.power || p.power == best.power && p.addr < best.addr) {
+		if now.Sub(p.lastContact) < livePeerAge && !p.leaving && p.storeOK && (p.cpuMillicores > best.cpuMillicores || p.cpuMillicores == best.cpuMillicores && p.addr < best.addr) {
 			best = p
 		}
 	}
-	return best.addr, best.power >= handoverPowerRatio*max(power, 1)
+	return best.addr, best.cpuMillicores >= handoverCPURatio*max(cpuMillicores, 1)
 }
--- a/internal/node/gate/peers_test.go
+++ b/internal/node/gate/peers_test.go
@@ -12,10 +12,10 @@
 
 func TestShouldClaim(t *testing.T) {
 	now := time.Unix(1000, 0)
-	live := func(addr string, power int64) peer {
-		return peer{addr: addr, lastContact: now, power: power, ownerAge: time.Hour}
+	live := func(addr string, cpuMillicores int64) peer {
+		return peer{addr: addr, lastContact: now, cpuMillicores: cpuMillicores, ownerAge: time.Hour}
 	}
-	hears := func(addr string) peer {
+	inContactWithOwner := func(addr string) peer {
 		return peer{addr: addr, lastContact: now, ownerAddr: "o", ownerAge: 100 * time.Millisecond}
 	}
 	dead := func(addr string) peer { return peer{addr: addr, lastContact: now.Add(-time.Minute)} }
@@ -29,12 +29,12 @@
 		{"first by address", election{ownerSilence: suspectAfter, peers: []peer{live("b", 0)}}, true},
 		{"second by address", election{self: "c", ownerSilence: suspectAfter, peers: []peer{live("b", 0)}}, false},
 		{"second, later", election{self: "c", ownerSilence: suspectAfter + claimStagger, peers: []peer{live("b", 0)}}, true},
-		{"a more powerful host claims first", election{ownerSilence: suspectAfter, power: 192, peers: []peer{live("b", 800)}}, false},
-		{"a peer has contact with the owner", election{ownerSilence: time.Minute, peers: []peer{hears("b")}}, false},
+		{"a more powerful host claims first", election{ownerSilence: suspectAfter, cpuMillicores: 192, peers: []peer{live("b", 800)}}, false},
+		{"a peer has contact with the owner", election{ownerSilence: time.Minute, peers: []peer{inContactWithOwner("b")}}, false},
 		{"isolated, the topic grows", election{ownerSilence: time.Minute, topicGrows: true, peers: []peer{dead("b")}}, false},
 		{"isolated, after the delay", election{ownerSilence: isolatedClaimDelay + 1, peers: []peer{dead("b")}}, true},
 		{"isolated, before the delay", election{ownerSilence: isolatedClaimDelay - 1, peers: []peer{dead("b")}}, false},
-		{"invited", election{claimRequested: true}, true},
+		{"asked to take over", election{claimRequested: true}, true},
 	} {
 		if c.c.self == "" {
 			c.c.self = "a"
@@ -47,8 +47,8 @@
 func TestStrongerPeer(t *testing.T) {
 	now := time.Unix(1000, 0)
 	peers := []peer{
-		{addr: "a", lastContact: now, power: 800, storeOK: true}, {addr: "b", lastContact: now, power: 900, storeOK: true, leaving: true},
-		{addr: "c", lastContact: now.Add(-time.Minute), power: 900, storeOK: true}, {addr: "d", lastContact: now, power: 900},
+		{addr: "a", lastContact: now, cpuMillicores: 800, storeOK: true}, {addr: "b", lastContact: now, cpuMillicores: 900, storeOK: true, leaving: true},
+		{addr: "c", lastContact: now.Add(-time.Minute), cpuMillicores: 900, storeOK: true}, {addr: "d", lastContact: now, cpuMillicores: 900},
 	}
 	addr, ok := strongerPeer(192, peers, now)
 	assert.Assert(t, ok)
@@ -57,7 +57,7 @@
 	assert.Assert(t, !ok, "less than twice as powerful")
 }
 
-func TestEpochsRise(t *testing.T) {
+func TestNextEpochIsHigher(t *testing.T) {
 	last := int64(0)
 	for range 1000 {
 		next := nextEpoch(last)
@@ -71,8 +71,8 @@
 func TestHandoverCandidates(t *testing.T) {
 	now := time.Unix(1000, 0)
 	got := handoverCandidates([]peer{
-		{addr: "a", lastContact: now, leaving: true, power: 9}, {addr: "c", lastContact: now, power: 4}, {addr: "b", lastContact: now, power: 4},
-		{addr: "d", lastContact: now.Add(-time.Minute), power: 9}, {addr: "e", lastContact: now, power: 8},
+		{addr: "a", lastContact: now, leaving: true, cpuMillicores: 9}, {addr: "c", lastContact: now, cpuMillicores: 4}, {addr: "b", lastContact: now, cpuMillicores: 4},
+		{addr: "d", lastContact: now.Add(-time.Minute), cpuMillicores: 9}, {addr: "e", lastContact: now, cpuMillicores: 8},
 	}, now)
 	assert.DeepEqual(t, got, []string{"e", "b", "c"})
 }
@@ -82,12 +82,12 @@
 // delayed by 140 ms.
 func TestIsStandby(t *testing.T) {
 	now := time.Unix(1000, 0)
-	peers := []peer{{addr: "o", lastContact: now, power: 800}, {addr: "gone", lastContact: now.Add(-time.Minute), power: 900}}
+	peers := []peer{{addr: "o", lastContact: now, cpuMillicores: 800}, {addr: "gone", lastContact: now.Add(-time.Minute), cpuMillicores: 900}}
 	for _, a := range []string{"a", "b", "c"} {
-		peers = append(peers, peer{addr: a, lastContact: now, power: 800})
+		peers = append(peers, peer{addr: a, lastContact: now, cpuMillicores: 800})
 	}
 	for _, a := range []string{"s1", "s2", "s3"} {
-		peers = append(peers, peer{addr: a, lastContact: now, power: 192})
+		peers = append(peers, peer{addr: a, lastContact: now, cpuMillicores: 192})
 	}
 	others := func(self string) (list []peer) {
 		for _, p := range peers {
@@ -104,18 +104,18 @@
 		}
 	}
 	assert.DeepEqual(t, standbys, []string{"a", "b", "c"})
-	deadPeers := []peer{{addr: "a", lastContact: now.Add(-time.Minute), power: 800}}
-	assert.Assert(t, isStandby(peer{addr: "s1", power: 192}, "a", deadPeers, false, now), "a host without contact to any peer")
+	deadPeers := []peer{{addr: "a", lastContact: now.Add(-time.Minute), cpuMillicores: 800}}
+	assert.Assert(t, isStandby(peer{addr: "s1", cpuMillicores: 192}, "a", deadPeers, false, now), "a host without contact to any peer")
 	var silentPeers []peer
 	for _, a := range []string{"a", "b", "c"} {
-		silentPeers = append(silentPeers, peer{addr: a, power: 800})
+		silentPeers = append(silentPeers, peer{addr: a, cpuMillicores: 800})
 	}
-	assert.Assert(t, !isStandby(peer{addr: "s1", power: 192}, "", silentPeers, true, now), "a host that has just started counts peers without a heartbeat")
-	assert.Assert(t, isStandby(peer{addr: "s1", power: 192}, "", silentPeers, false, now), "peers that have not answered do not count")
+	assert.Assert(t, !isStandby(peer{addr: "s1", cpuMillicores: 192}, "", silentPeers, true, now), "a host that has just started counts peers that have not sent a ping")
+	assert.Assert(t, isStandby(peer{addr: "s1", cpuMillicores: 192}, "", silentPeers, false, now), "peers that have not answered do not count")
 }
 
-// TestPingSilentPeers checks that hosts that have been silent for long are pinged
-// less often, but are still pinged. Otherwise the two sides of a long network
+// TestPingSilentPeers checks that hosts that have been silent for a long time are
+// pinged less often, but are still pinged. Otherwise the two sides of a long network
 // partition would not find each other again.
 func TestPingSilentPeers(t *testing.T) {
 	c := clock.NewManual(time.Unix(1000, 0))
@@ -135,8 +135,8 @@
 
 // TestClaimAfterPowerLoss guards against a delayed first claim after a power loss of
 // all hosts. The first claim waited 0.8 s for the owner named in the records, which
-// had lost power too, and hosts that had only read of it reported it to each other
-// as live.
+// had lost power too. Hosts that knew this owner only from the records reported
+// contact with it to each other.
 func TestClaimAfterPowerLoss(t *testing.T) {
 	c := clock.NewManual(time.Unix(1000, 0))
 	newHost := func() *Host {
@@ -148,15 +148,15 @@
 	}
 	h := newHost()
 	h.setOwner(5, "dead", h.assumedContact())
-	assert.Assert(t, !h.mayClaim(), "the owner has not had time to answer")
+	assert.Assert(t, !h.shouldClaimNow(), "the owner has not had time to answer")
 	c.Advance(ownerProbeTimeout)
-	assert.Assert(t, h.mayClaim())
+	assert.Assert(t, h.shouldClaimNow())
 
 	h = newHost()
 	h.ownerContacted = true
 	h.setOwner(5, "o", h.assumedContact())
 	c.Advance(suspectAfter - time.Millisecond)
-	assert.Assert(t, !h.mayClaim(), "a host that has been in contact with an owner waits for the new one")
+	assert.Assert(t, !h.shouldClaimNow(), "a host that has been in contact with an owner waits for the new one")
 
 	h = newHost()
 	h.processPing(t.Context(), ping{Addr: "b", Epoch: 5, Owner: "dead", OwnerAgeMs: 700})
--- a/internal/node/gate/relay.go
+++ b/internal/node/gate/relay.go
@@ -11,9 +11,10 @@
 	"lagooncourse/internal/plat/ports"
 )
 
-// relayStore calls the store directly or, when the store refuses or does not
-// answer this host, through a peer. Appends carry an epoch and a sequence number,
-// so the same append may be sent on both paths.
+// relayStore calls the store directly or, without a definitive answer, through a
+// peer. The same append may be sent on both paths: those to the job topic carry an
+// epoch and a sequence number, and a repeated claim or host registration has no
+// further effect.
 type relayStore struct {
 	direct ports.Store
 	host   *Host
@@ -26,30 +27,31 @@
 
 var _ ports.Store = (*relayStore)(nil)
 
-// Exponential backoff of direct calls while peers relay.
+// Exponential backoff after failed direct calls.
 const (
 	directBackoff    = 400 * time.Millisecond
 	maxDirectBackoff = 3200 * time.Millisecond
 )
 
 // hedgeDelay is how long a direct call may take before peers are tried as well: ten
-// times the usual store latency, and less than the start latency of urgent jobs.
+// times the usual store latency, and less than the delay that urgent jobs tolerate.
 const hedgeDelay = 80 * time.Millisecond
 
 // maxRelays is the maximum number of peers tried for one call.
 const maxRelays = 2
 
-// healthy reports whether the last direct call succeeded.
+// healthy reports whether the last direct call got a definitive answer.
 func (s *relayStore) healthy() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return !s.lastSuccess.IsZero() && !s.lastFailure.After(s.lastSuccess)
 }
 
-// recordResult records the result of a direct call.
+// recordResult records whether a direct call got a definitive answer. It ignores a
+// call that its caller has cancelled.
 func (s *relayStore) recordResult(ctx context.Context, err error) {
 	if err != nil && errors.Is(ctx.Err(), context.Canceled) {
-		return // canceled by the caller, not a store failure
+		return // cancelled by the caller, not a store failure
 	}
 	if err != nil && !definitive(err) {
 		s.recordFailure(err.Error())
@@ -100,16 +102,17 @@
 	direct bool
 }
 
-// hedgedCall tries the direct path, then peers. It skips a direct path in backoff
-// only while a peer can relay: after a store outage that affects all hosts, the
-// direct path is the first to recover. If hedge is not zero, peers are also tried
-// once the direct call has taken that long, so that a call on a dead connection does
-// not have to wait for its deadline.
+// hedgedCall calls the store directly and, if that fails, through peers. If hedge is
+// not zero, peers are also tried once the direct call has taken that long, so that a
+// dead connection does not delay the call until its deadline.
+//
+// A direct path in backoff is skipped, but only while a peer can relay: after a
+// store outage that affects all hosts, the direct path is the first to recover.
 func hedgedCall[T any](ctx context.Context, s *relayStore, hedge time.Duration, direct storeCall[T], relay func(context.Context, string) (T, error)) (v T, err error) {
 	if s.skipDirect() && len(s.host.storePeers(1)) > 0 {
-		none := fault.New(fault.Unavailable, fault.NotRun, "the store is not reachable from this host")
-		o := viaPeers(ctx, s, callResult[T]{err: none}, relay)
-		return o.v, o.err
+		noResult := fault.New(fault.Unavailable, fault.NotRun, "the store is not reachable from this host")
+		r := viaPeers(ctx, s, callResult[T]{err: noResult}, relay)
+		return r.v, r.err
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -127,10 +130,11 @@
 		first = viaPeers(ctx, s, first, relay)
 		return first.v, first.err
 	}
-	none := fault.New(fault.Timeout, fault.Unknown, "the store has not answered yet")
-	go func() { done <- viaPeers(ctx, s, callResult[T]{err: none}, relay) }()
+	noResult := fault.New(fault.Timeout, fault.Unknown, "the store has not answered yet")
+	go func() { done <- viaPeers(ctx, s, callResult[T]{err: noResult}, relay) }()
 	first = <-done
 	if !first.final() {
+		// If both fail, keep the first failure only if its outcome is unknown.
 		second := <-done
 		if second.final() || fault.RanOf(first.err) != fault.Unknown {
 			first = second
@@ -143,32 +147,33 @@
 }
 
 // final reports whether the store has answered, so that no other path is needed.
-func (o callResult[T]) final() bool { return o.err == nil || definitive(o.err) }
+func (r callResult[T]) final() bool { return r.err == nil || definitive(r.err) }
 
 // awaitResult waits for a result, for at most d if d is not zero.
-func awaitResult[T any](done <-chan callResult[T], d time.Duration) (o callResult[T], ok bool) {
+func awaitResult[T any](done <-chan callResult[T], d time.Duration) (r callResult[T], ok bool) {
 	if d == 0 {
 		return <-done, true
 	}
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
-	case o = <-done:
-		return o, true
+	case r = <-done:
+		return r, true
 	case <-t.C:
-		return o, false
+		return r, false
 	}
 }
 
 // viaPeers tries peers after a failed call. If all of them fail too, it returns the
-// last error with outcome Unknown, or the failed result if there is none.
+// last error with outcome Unknown, or the failed result if there is none. Each call
+// is limited by relayTimeout only; the end of ctx does not cancel it.
 func viaPeers[T any](ctx context.Context, s *relayStore, failed callResult[T], relay func(context.Context, string) (T, error)) callResult[T] {
 	for _, addr := range s.host.storePeers(maxRelays) {
 		rctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), relayTimeout)
 		v, err := relay(rctx, addr)
 		cancel()
-		if o := (callResult[T]{v: v, err: err}); o.final() {
-			return o
+		if r := (callResult[T]{v: v, err: err}); r.final() {
+			return r
 		}
 		if fault.RanOf(err) == fault.Unknown {
 			failed.err = err
@@ -197,12 +202,12 @@
 func (s *relayStore) Read(ctx context.Context, r ports.ReadRequest) (ports.Page, error) {
 	hedge := hedgeDelay
 	if r.Wait > 0 {
-		hedge = 0
+		hedge = 0 // the store may delay its answer
 	}
 	return hedgedCall(ctx, s, hedge,
 		func(ctx context.Context) (ports.Page, error) { return s.direct.Read(ctx, r) },
 		func(ctx context.Context, addr string) (ports.Page, error) {
-			r.Wait = 0
+			r.Wait = 0 // a wait may exceed relayTimeout
 			a, err := frame.Call(ctx, s.host.pool, addr, readMethod, r)
 			return a.Page, a.toError(err)
 		})
--- a/internal/node/gate/relay_test.go
+++ b/internal/node/gate/relay_test.go
@@ -19,9 +19,9 @@
 	c := clock.NewManual(time.Unix(1000, 0))
 	h := &Host{clock: c, log: logr.Discard(), peers: map[string]*peer{"b": {addr: "b", lastContact: c.Now(), storeOK: true}}}
 	s := &relayStore{host: h}
-	var directs atomic.Int32
+	var directCalls atomic.Int32
 	silent := func(ctx context.Context) (int, error) {
-		directs.Add(1)
+		directCalls.Add(1)
 		<-ctx.Done()
 		return 0, fault.New(fault.Timeout, fault.Unknown, "silent")
 	}
@@ -36,15 +36,15 @@
 		return time.Since(startedAt)
 	}
 	assert.Assert(t, call() < 350*time.Millisecond, "half of the timeout")
-	assert.Equal(t, directs.Load(), int32(1))
+	assert.Equal(t, directCalls.Load(), int32(1))
 	call()
-	assert.Equal(t, directs.Load(), int32(1), "the direct path is in backoff")
+	assert.Equal(t, directCalls.Load(), int32(1), "the direct path is in backoff")
 	for range 6 {
 		c.Advance(directBackoff)
 		h.peers["b"].lastContact = c.Now()
 		call()
 	}
-	assert.Equal(t, directs.Load(), int32(3), "the backoff grows with each failure")
+	assert.Equal(t, directCalls.Load(), int32(3), "the backoff grows with each failure")
 }
 
 // TestOutageEnds checks that the direct path is used again as soon as an outage that
--- a/internal/node/gate/site.go
+++ b/internal/node/gate/site.go
@@ -15,25 +15,25 @@
 )
 
 // siteState is the configuration and the availability zones out of service,
-// according to the operator topic. It never reverts to an older version.
+// according to the operator topic. It never returns to an older version.
 type siteState struct {
 	mu          sync.Mutex
 	newest      map[string]ports.Record // newest record of each key
-	next        int64                   // offset up to which the topic has been read
+	next        int64                   // offset of the first record not read yet
 	site        ports.Site
 	closedZones map[string]bool   // availability zones out of service
-	teams       map[string]string // team of each API key
-	lastUpdate  time.Time         // last update from the store or a peer
+	teamByKey   map[string]string // team of each API key
+	lastRead    time.Time         // last successful read from the store or a peer
 }
 
 func newSiteState() *siteState {
-	return &siteState{newest: map[string]ports.Record{}, closedZones: map[string]bool{}, teams: map[string]string{}}
+	return &siteState{newest: map[string]ports.Record{}, closedZones: map[string]bool{}, teamByKey: map[string]string{}}
 }
 
 // Timeouts and intervals of reading the operator topic.
 const (
 	siteLongPoll   = 2 * time.Second // maximum wait of a read for new records
-	siteTimeout    = time.Second     // in addition to the wait
+	siteTimeout    = time.Second     // of a read, in addition to its wait
 	siteRetryPause = 200 * time.Millisecond
 )
 
@@ -44,7 +44,7 @@
 	return s.site.Version > 0
 }
 
-// offset returns the offset up to which the operator topic has been read.
+// offset returns the offset of the first operator record not read yet.
 func (s *siteState) offset() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -68,7 +68,8 @@
 	return v
 }
 
-// route returns the queue with the longest prefix that matches host and path.
+// route returns the queue with this host name whose prefix is the longest prefix of
+// path.
 func (s *siteState) route(host, path string) (q sched.Queue, ok bool) {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
@@ -87,7 +88,7 @@
 func (s *siteState) team(key string) (string, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	t, ok := s.teams[key]
+	t, ok := s.teamByKey[key]
 	return t, ok
 }
 
@@ -110,11 +111,11 @@
 	}
 }
 
-// readSite applies the records from the offset next on, or the newest of each key
-// if next is negative. It returns the next offset.
+// readSite applies the records from the offset next on, or the newest record of each
+// key if next is negative. It returns the next offset.
 func (h *Host) readSite(ctx context.Context, next int64) (int64, error) {
 	if next < 0 {
-		return h.readWholeSite(ctx)
+		return h.readNewestSite(ctx)
 	}
 	wait := siteLongPoll
 	if !h.store.healthy() {
@@ -125,7 +126,7 @@
 	page, err := h.store.Read(rctx, ports.ReadRequest{Topic: h.cfg.OperatorTopic, From: next, Wait: wait})
 	var gone *ports.GoneError
 	if errors.As(err, &gone) {
-		return h.readWholeSite(ctx)
+		return h.readNewestSite(ctx)
 	}
 	if err != nil {
 		return next, err
@@ -140,8 +141,8 @@
 	return next, nil
 }
 
-// readWholeSite applies the newest record of each key and drops all other keys.
-func (h *Host) readWholeSite(ctx context.Context) (int64, error) {
+// readNewestSite applies the newest record of each key and drops all other keys.
+func (h *Host) readNewestSite(ctx context.Context) (int64, error) {
 	rctx, cancel := context.WithTimeout(ctx, siteTimeout)
 	defer cancel()
 	all, end, err := ports.ReadNewest(rctx, h.store, h.cfg.OperatorTopic)
@@ -186,7 +187,7 @@
 		h.applyOperator(s, r)
 	}
 	s.next = max(s.next, end)
-	s.lastUpdate = h.clock.Now()
+	s.lastRead = h.clock.Now()
 	closedZones := map[string]bool{}
 	for key, r := range s.newest {
 		if o := h.cfg.ParseOperator(key); o.Az != "" && len(r.Value) > 0 {
@@ -201,7 +202,8 @@
 	}
 }
 
-// applyOperator applies one record. The caller holds s.mu.
+// applyOperator replaces the configuration if r holds a newer version. It only logs a
+// record of an availability zone, which applySite applies. The caller holds s.mu.
 func (h *Host) applyOperator(s *siteState, r ports.Record) {
 	o := h.cfg.ParseOperator(r.Key)
 	switch {
@@ -218,16 +220,17 @@
 		}
 		h.log.Info("configuration", "version", site.Version, "before", s.site.Version, "offset", r.Offset)
 		s.site = site
-		s.teams = map[string]string{}
+		s.teamByKey = map[string]string{}
 		for _, t := range site.Teams {
 			for _, k := range t.Keys {
-				s.teams[k] = t.Name
+				s.teamByKey[k] = t.Name
 			}
 		}
 	}
 }
 
-// serveSite returns the operator records if the peer's are older.
+// serveSite returns the newest operator records if this host has read further than
+// the peer.
 func (h *Host) serveSite(_ context.Context, m siteMsg) (siteAnswer, error) {
 	s := h.site
 	s.mu.Lock()
--- a/internal/node/gate/wire.go
+++ b/internal/node/gate/wire.go
@@ -6,7 +6,7 @@
 	"lagooncourse/internal/plat/ports"
 )
 
-// RPC methods between entry hosts.
+// RPC methods between entry hosts. Their IDs differ from those of node/wire.
 var (
 	pingMethod   = frame.Method[ping, ping]{ID: 40, Name: "ping"}
 	callMethod   = frame.Method[callMsg, callAnswer]{ID: 41, Name: "call"}
@@ -17,7 +17,7 @@
 	siteMethod   = frame.Method[siteMsg, siteAnswer]{ID: 46, Name: "site"}
 )
 
-// ping is the request and the response of a heartbeat: the state of its sender.
+// ping is both the request and the answer of a ping: the state of its sender.
 type ping struct {
 	Addr       string // of the sender, for calls from other entry hosts
 	Az         string
@@ -25,7 +25,7 @@
 	Epoch      int64  // highest epoch known to the sender
 	Owner      string // address of the owner in Epoch; empty if unknown
 	OwnerAgeMs int64  // since the sender's last contact with the owner; 0 if it is the owner
-	SiteNext   int64  // offset of the operator topic up to which the sender has read
+	SiteNext   int64  // offset of the first operator record that the sender has not read
 	StoreOK    bool   // the sender's last direct store call succeeded
 	Claim      bool   // asks the receiver to claim ownership immediately
 	Power      int64  // millicores of the sender
@@ -66,7 +66,7 @@
 // adviseAnswer is the result of an advice request.
 type adviseAnswer struct {
 	Advice ports.Advice
-	AgeMs  int64 // since the service answered
+	AgeMs  int64 // not used: always 0, the receiver estimates the age
 }
 
 // appendAnswer is the result of a relayed append.
@@ -85,7 +85,8 @@
 	Status int
 }
 
-// newestMsg requests the newest record of each key after the key After.
+// newestMsg requests a page of the newest record of each key. After is the field
+// More of the previous page, empty for the first.
 type newestMsg struct {
 	Topic string
 	After string
