--- a/internal/node/gate/relay.go
+++ b/internal/node/gate/relay.go
@@ -88,7 +88,7 @@
 func (s *relayStore) skipDirect() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	pause := min(directBackoff<<min(max(s.failures-1, 0), 8), maxDirectBackoff)
+	pause := min(directBackoff<<min(max(s.failures-1, 0), 8), maxDirectBackoff) // the shift is limited to prevent an overflow
 	return s.lastFailure.After(s.lastSuccess) && s.host.clock.Now().Sub(s.lastFailure) < pause
 }
 
