--- a/internal/node/owner/accept.go
+++ b/internal/node/owner/accept.go
@@ -10,9 +10,9 @@
 	"lagooncourse/internal/node/wire"
 )
 
-// This file serves callers and operators: it accepts jobs, returns their status,
-// cancels them, and applies decisions about parked tasks. A request is confirmed
-// only after its record is in the log.
+// This file serves clients and operators: it accepts jobs, returns their status,
+// cancels them, and applies decisions about parked tasks. A change is confirmed
+// only after its record is in the stream.
 
 // Submit records a job and returns it. A repeated submission id returns the job
 // that was recorded first.
--- a/internal/node/owner/once.go
+++ b/internal/node/owner/once.go
@@ -8,10 +8,9 @@
 	"lagooncourse/internal/node/wire"
 )
 
-// This file runs calls that must run at most once. The group's owner, the only
-// host that may send a call, records the intent durably before it sends the
-// call. A later owner that finds an intent without an outcome returns Unknown
-// and does not send the call again.
+// This file runs service calls that must run at most once. Only the group's owner
+// sends a call, after it has recorded the intent durably. A later owner that finds
+// an intent without an outcome returns Unknown and does not send the call again.
 
 // Dispatcher sends a call to a target, at most once.
 type Dispatcher interface {
@@ -40,17 +39,17 @@
 	return ic.answer, ic.err
 }
 
-// removeCall removes a call from those in progress, once its outcome is in the
-// state for repetitions to find, or cannot be recorded.
+// removeCall removes a call from the calls in progress. It is called once the
+// outcome is recorded, so that a repeated call finds it, or cannot be recorded.
 func (g *Group) removeCall(call group.Call) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	delete(g.inflight, call.Key())
 }
 
-// admitCall admits a call. It returns an earlier call of the same id to wait
-// for, or a new one with the record to write, or an error if the call must not
-// be sent.
+// admitCall returns the earlier call with the same id, if any, and a nil record.
+// Otherwise it returns a new call and the intent to record. It fails if the call
+// must not be sent.
 func (g *Group) admitCall(msg wire.CallMsg) (*inflightCall, *group.Call, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -96,11 +95,12 @@
 	}
 }
 
-// runOnce records the intent, sends the call and records the outcome.
+// runOnce records the intent, sends the call and proposes the record of the
+// outcome.
 func (g *Group) runOnce(ctx context.Context, msg wire.CallMsg, call group.Call, d Dispatcher) (wire.CallAnswer, error) {
 	if err := g.commit(ctx, group.Record{Call: &call}); err != nil {
 		// The call has not been sent and will not be. If the intent becomes
-		// durable later, it only blocks a reuse of the id.
+		// durable later, a repeated call gets the outcome Unknown.
 		g.removeCall(call)
 		e := *fault.From(err)
 		e.Ran = fault.NotRun
--- a/internal/node/owner/start.go
+++ b/internal/node/owner/start.go
@@ -11,11 +11,11 @@
 	"lagooncourse/internal/node/wire"
 )
 
-// This file starts attempts whose intent is durable, and records an end at once
-// if the start is known to have failed.
+// This file starts attempts whose intent is durable, and proposes the record of an
+// end if the attempt is known not to run.
 
-// placedTask returns the task, and whether it is placed with this attempt. The
-// caller holds the lock.
+// placedTask returns a task, and whether it is placed and attempt is its current
+// attempt. The caller holds the lock.
 func (g *Group) placedTask(ref jobs.Ref, attempt int) (jobs.Task, bool) {
 	j := g.state.Jobs[ref.Job]
 	if j == nil || ref.Index >= len(j.Tasks) {
@@ -29,8 +29,8 @@
 const startTimeout = 3 * time.Second
 
 // startAttempt sends a start request to the owner of the worker's group. If the
-// attempt is known not to run, it records the end; an unknown outcome is left to
-// reconcileLoop.
+// attempt is known not to run, it proposes the record of the end; an unknown
+// outcome is left to reconcileLoop.
 func (g *Group) startAttempt(ref jobs.Ref, msg wire.StartMsg) {
 	ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
 	defer cancel()
