--- a/internal/node/owner/owner_test.go
+++ b/internal/node/owner/owner_test.go
@@ -52,7 +52,8 @@
 func (c fixedCell) Fresh() error                                { return nil }
 func (c fixedCell) Change(context.Context, config.Grants) error { return nil }
 
-// noRemote has no other groups to reach.
+// noRemote reaches no group: Report fails, and the methods it does not define
+// panic.
 type noRemote struct{ Remote }
 
 func (noRemote) Report(context.Context, wire.ReportMsg) (wire.ReportAnswer, error) {
@@ -149,9 +150,9 @@
 	}
 }
 
-// TestWritesAfterLoss checks that a change appended after another host's claim
-// fails with NotRun and is not part of the state.
-func TestWritesAfterLoss(t *testing.T) {
+// TestSubmitAfterLostOwnership checks that a change appended after another host's
+// claim fails with NotRun and is not part of the state.
+func TestSubmitAfterLostOwnership(t *testing.T) {
 	g, log := newOwnedGroup(t)
 	appendOtherClaim(t, log)
 	spec := jobs.Spec{Name: "survey", Kind: jobs.Batch, Team: "lab", Submission: "s", Tasks: 1, Size: jobs.Size{CPU: 1}, RunMs: 1}
@@ -165,9 +166,9 @@
 }
 
 // TestRecordedOnlyByOwner checks that Report confirms the end of an unknown
-// attempt as recorded only while the log shows this host as the group's owner. A
-// later owner may have started the attempt, and its end would be deleted without
-// a record.
+// attempt as recorded only while the log shows this host as the group's owner.
+// Otherwise the end of an attempt that a later owner has started would be deleted
+// before it is recorded.
 func TestRecordedOnlyByOwner(t *testing.T) {
 	g, log := newOwnedGroup(t)
 	msg := wire.ReportMsg{Group: "a-0", Reports: []books.Report{
