--- a/internal/node/owner/commit.go
+++ b/internal/node/owner/commit.go
@@ -9,30 +9,30 @@
 	"lagooncourse/internal/plat/stream"
 )
 
-// This file appends records to the group's stream. Proposals that arrive during
-// an append are batched into the next one, so the append rate depends on the
-// commit interval and not on the load.
+// This file appends records to the group's stream. A proposal is a set of records
+// that are committed atomically. Proposals that arrive during an append are
+// combined into the next batch, so the append rate depends on the commit interval
+// and not on the load.
 //
 // An append without a response is retried with the same sequence number. The
-// first copy in the stream is applied, later copies are void. An append is
-// reported as NotRun only after a later epoch has made it void permanently.
+// first copy in the stream is applied. Later copies are void: they have no
+// effect. A batch is reported as NotRun only once it can no longer be applied.
 
 const (
-	unwantedAppendTimeout = 2 * time.Second // for an append of a group that this host should no longer own
-	maxPending            = 20_000          // proposals
-	maxBatchRecords       = 5_000
+	unwantedAppendTimeout = 2 * time.Second // how long an append is retried once this host should not own the group
+	maxPendingProposals   = 20_000
+	maxBatchRecords       = 5_000 // no proposal is added to a batch with this many records
 	minAppendBackoff      = 50 * time.Millisecond
 	maxAppendBackoff      = time.Second
 )
 
-// propose adds a proposal to those of the next append. The caller holds the
-// lock.
+// propose adds a proposal to the pending ones. The caller holds the lock.
 func (g *Group) propose(p proposal) error {
 	switch {
 	case g.epoch == 0:
 		return notOwner(g.cfg.Name)
-	case len(g.pending) >= maxPending:
-		return fault.New(fault.Overload, fault.NotRun, "group %q has %d pending changes", g.cfg.Name, maxPending).WithRetryAfter(1)
+	case len(g.pending) >= maxPendingProposals:
+		return fault.New(fault.Overload, fault.NotRun, "group %q has %d pending changes", g.cfg.Name, maxPendingProposals).WithRetryAfter(1)
 	}
 	g.pending = append(g.pending, p)
 	g.wakeLoop()
@@ -65,14 +65,14 @@
 	}
 }
 
-// flush appends a batch of pending records, if any, and waits until it is
-// durable or void. It then waits for the commit interval.
+// flush appends a batch of pending proposals, if any, and reports the outcome to
+// each of them. It then waits for the commit interval.
 func (g *Group) flush(ctx context.Context) {
 	batch, taken := g.takeBatch()
 	if len(taken) == 0 {
 		return
 	}
-	err := g.append(ctx, batch)
+	err := g.appendBatch(ctx, batch)
 	for _, p := range taken {
 		if p.done != nil {
 			p.done(err)
@@ -84,8 +84,8 @@
 	}
 }
 
-// takeBatch removes pending proposals until they hold maxBatchRecords records,
-// and returns them with their batch.
+// takeBatch removes pending proposals until they hold at least maxBatchRecords
+// records, and returns them with their batch.
 func (g *Group) takeBatch() (group.Batch, []proposal) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -100,9 +100,11 @@
 	return b, taken
 }
 
-// append appends one batch and retries until its outcome is settled. A nil
-// error means that the batch has been applied.
-func (g *Group) append(ctx context.Context, b group.Batch) error {
+// appendBatch appends one batch and retries until it is known to be applied or
+// void. It gives up with outcome Unknown when ctx ends, or after
+// unwantedAppendTimeout if this host should no longer own the group. A nil error
+// means that the batch has been applied.
+func (g *Group) appendBatch(ctx context.Context, b group.Batch) error {
 	data, err := encodeBatch(b)
 	if err != nil {
 		return err
@@ -115,8 +117,8 @@
 			return nil
 		}
 		g.updateLogDown(err)
-		if verdict, settled := g.readBack(ctx, b); settled {
-			return verdict
+		if outcome, settled := g.readBack(ctx, b); settled {
+			return outcome
 		}
 		select {
 		case <-time.After(backoff):
@@ -146,7 +148,8 @@
 }
 
 // notifyChanged wakes all goroutines that wait for a change of the state, and
-// counts the commit. The caller holds the lock.
+// increments Stats.Commits, also for a readBack that applied nothing. The caller
+// holds the lock.
 func (g *Group) notifyChanged() {
 	g.stats.Commits++
 	close(g.changed)
@@ -154,9 +157,9 @@
 }
 
 // readBack reads the stream to find out whether the batch has been applied or
-// is void. The outcome is not settled while the log does not respond or does
-// not contain the batch.
-func (g *Group) readBack(ctx context.Context, b group.Batch) (verdict error, settled bool) {
+// is void. settled is false if the log does not respond or the batch may still be
+// applied.
+func (g *Group) readBack(ctx context.Context, b group.Batch) (outcome error, settled bool) {
 	err := g.catchUp(ctx, g.replay)
 	g.updateLogDown(err)
 	if err != nil {
@@ -181,7 +184,7 @@
 }
 
 // confirmOwner returns an error unless the log shows that this host still owns
-// the group. Without that check, statements about the group's workers may
+// the group. Without that check, this host's answers about the group's workers may
 // contradict those of a later owner.
 func (g *Group) confirmOwner(ctx context.Context) error {
 	g.mu.Lock()
@@ -202,7 +205,8 @@
 	return nil
 }
 
-// updateLogDown records whether the log responds. An overloaded log does.
+// updateLogDown records whether the log responds. An Overload error is a
+// response.
 func (g *Group) updateLogDown(err error) {
 	down := err != nil && !fault.Is(err, fault.Overload)
 	g.mu.Lock()
@@ -211,8 +215,8 @@
 }
 
 // release hands the group over. It refuses new calls, waits for those in
-// progress, and records the end of the epoch. For a call that is still in
-// progress then, the next owner can only report an unknown outcome.
+// progress, and records the end of the epoch. If a call is still in progress at
+// that time, the next owner can only report its outcome as unknown.
 func (g *Group) release(ctx context.Context) {
 	g.finishCalls(ctx)
 	ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
@@ -231,15 +235,16 @@
 			p.done(notOwner(g.cfg.Name))
 		}
 	}
-	err := g.append(ctx, b)
+	err := g.appendBatch(ctx, b)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.epoch = 0
-	g.log.Info("released group", "epoch", b.Epoch, "err", err)
+	g.logger.Info("released group", "epoch", b.Epoch, "err", err)
 }
 
-// finishCalls commits until no call is in progress, for up to
-// callDrainTimeout.
+// finishCalls refuses new calls, and commits until no call and no proposal is
+// left, the log does not respond, ownership is lost, or callDrainTimeout has
+// passed.
 func (g *Group) finishCalls(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, callDrainTimeout)
 	defer cancel()
--- a/internal/node/owner/evict.go
+++ b/internal/node/owner/evict.go
@@ -11,23 +11,23 @@
 	"lagooncourse/internal/node/wire"
 )
 
-// This file preempts running batch tasks, with a checkpoint: for urgent tasks
-// that do not fit, and for teams below their fair share.
+// This file preempts batch tasks: it stops them with a checkpoint. Eviction makes
+// room for an urgent task, rebalancing for teams below their fair share.
 
 // evictHoldMs is how long the capacity that an eviction frees is held for the
 // urgent task.
 const evictHoldMs = 1000
 
-// evict stops batch tasks on one of the group's workers so that an urgent plan
+// evict stops batch tasks on one of the group's workers so that an urgent item
 // with a single attempt fits there. The caller holds the lock.
-func (g *Group) evict(pl *plan, cell *config.State) {
+func (g *Group) evict(pl *placement, cell *config.State) {
 	if !g.preempts() || pl.item.Kind != jobs.Urgent || len(pl.asks) != 1 || !g.azAllows(pl.item, cell) {
 		return
 	}
 	now := g.nowMs()
-	victims := g.books.Evict(pl.asks[0], now, now+evictHoldMs)
-	g.stats.Evicted += int64(len(victims))
-	g.stopAll(victims)
+	evicted := g.books.Evict(pl.asks[0], now, now+evictHoldMs)
+	g.stats.Evicted += int64(len(evicted))
+	g.stopLocal(evicted)
 }
 
 // preempts reports whether the policy allows preemption.
@@ -36,8 +36,8 @@
 	return ok && p.Preempts()
 }
 
-// stopAll sends stop requests for attempts on the group's own workers.
-func (g *Group) stopAll(list []books.Attempt) {
+// stopLocal sends stop requests for attempts on the group's own workers.
+func (g *Group) stopLocal(list []books.Attempt) {
 	for _, at := range list {
 		go func() {
 			ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
@@ -48,25 +48,25 @@
 }
 
 const (
-	maxRebalanceStops = 4    // tasks of one group that one round stops for fairness
+	maxRebalanceStops = 4    // tasks that one round of reconcileLoop stops for rebalancing
 	shareTolerance    = 0.02 // fraction of the fleet by which a team's use may deviate from its fair share
-	minFreeFraction   = 0.05 // free fraction of the fleet below which it counts as full
+	minFreeFraction   = 0.05 // free fraction of the fleet's CPU below which it counts as almost full
 )
 
-// overShare returns placed batch tasks of teams above their fair share, if the
-// fleet is full and another team with waiting work is below its fair share. The
-// caller holds the lock.
-func (g *Group) overShare() map[jobs.Ref]bool {
+// tasksOverShare returns placed batch tasks to stop, of teams above their fair
+// share, if the fleet is almost full and another team with waiting work is below
+// its fair share. It also counts them in the stats. The caller holds the lock.
+func (g *Group) tasksOverShare() map[jobs.Ref]bool {
 	over := map[jobs.Ref]bool{}
 	if !g.preempts() {
 		return over
 	}
-	view, waiting := g.view(g.cfg.Cell.State())
-	if !g.fleetFull(view.Fleet) {
+	view, waiting := g.policyView(g.cfg.Cell.State())
+	if !g.fleetAlmostFull(view.Fleet) {
 		return over
 	}
 	shares := view.Shares(waiting)
-	if !anyStarved(&view, shares, waiting) {
+	if !anyBelowShare(&view, shares, waiting) {
 		return over
 	}
 	for _, team := range teamsOverShare(&view, shares) {
@@ -89,8 +89,8 @@
 	return over
 }
 
-// fleetFull reports whether almost all of the fleet's CPU capacity is in use.
-func (g *Group) fleetFull(fleet jobs.Size) bool {
+// fleetAlmostFull reports whether almost all of the fleet's CPU capacity is in use.
+func (g *Group) fleetAlmostFull(fleet jobs.Size) bool {
 	var free jobs.Size
 	for _, d := range g.cfg.Remote.Duties() {
 		free = free.Plus(d.Free)
@@ -98,8 +98,8 @@
 	return fleet.CPU > 0 && float64(free.CPU) < minFreeFraction*float64(fleet.CPU)
 }
 
-// anyStarved reports whether any team with waiting work is below its fair share.
-func anyStarved(v *queue.View, shares map[string]float64, waiting map[string]jobs.Size) bool {
+// anyBelowShare reports whether any team with waiting work is below its fair share.
+func anyBelowShare(v *queue.View, shares map[string]float64, waiting map[string]jobs.Size) bool {
 	for team := range waiting {
 		if v.Used[team].Dominant(v.Fleet)+shareTolerance < shares[team] {
 			return true
@@ -112,14 +112,14 @@
 // of the excess.
 func teamsOverShare(v *queue.View, shares map[string]float64) []string {
 	var teams []string
-	above := func(team string) float64 { return v.Used[team].Dominant(v.Fleet) - shares[team] }
+	excess := func(team string) float64 { return v.Used[team].Dominant(v.Fleet) - shares[team] }
 	for team := range v.Used {
-		if above(team) > shareTolerance {
+		if excess(team) > shareTolerance {
 			teams = append(teams, team)
 		}
 	}
 	sort.Slice(teams, func(i, j int) bool {
-		a, b := above(teams[i]), above(teams[j])
+		a, b := excess(teams[i]), excess(teams[j])
 		return a > b || a == b && teams[i] < teams[j]
 	})
 	return teams
--- a/internal/node/owner/group.go
+++ b/internal/node/owner/group.go
@@ -2,6 +2,13 @@
 // host should own it, accepts and places the group's jobs, tracks the capacity
 // of the group's workers, and releases the group.
 //
+// A group is a set of workers in one availability zone together with the jobs
+// submitted to it. According to the log, at most one entry host at a time owns it.
+// A group's records form one stream of the log.
+//
+// An attempt is one execution of a task. Its start intent is the record that it
+// is about to be started on a certain worker.
+//
 // A group has two roles. As the home group of its jobs it records accepted
 // jobs, start intents and ends of attempts. As the group of its workers it
 // reserves capacity on them and sends them requests. A home group may place
@@ -14,11 +21,12 @@
 //	reserve at the worker's group -> record the intent at home -> start at the worker's group
 //	end reported by the worker -> recorded at home -> deleted at the worker's group
 //
-// An attempt without a recorded intent has never been sent. An attempt with a
-// recorded intent is unconfirmed until the worker's group reports its state.
+// No start request is sent for an attempt without a recorded intent. An attempt
+// with a recorded intent is unconfirmed until the worker's group reports its
+// state.
 //
-// Each Group guards all of its state by its own lock; groups share nothing. No
-// request is sent while the lock is held.
+// Each Group guards its state with its own lock, called the lock in this package.
+// No request is sent while the lock is held.
 //
 // # Usage
 //
@@ -55,23 +63,25 @@
 	Reserve(ctx context.Context, msg wire.ReserveMsg) (wire.ReserveAnswer, error)
 	Start(ctx context.Context, msg wire.StartMsg) (wire.StartAnswer, error)
 	Stop(ctx context.Context, msg wire.StopMsg) error
+	// Where queries the state of attempts at the group of their workers.
 	Where(ctx context.Context, msg wire.WhereMsg) (wire.WhereAnswer, error)
+	// Report reports ends of attempts to the home group of their jobs.
 	Report(ctx context.Context, msg wire.ReportMsg) (wire.ReportAnswer, error)
 	// Duties lists the groups that live entry hosts own.
 	Duties() []wire.Duty
-	// MayClaim takes the holder of a group's newest epoch according to the
-	// log, and reports whether that holder may be replaced.
+	// MayClaim reports whether this host may claim the group although, according
+	// to the log, holder owns its newest epoch.
 	MayClaim(name string, epoch uint64, holder group.Holder) bool
 }
 
-// Cell gives access to the configuration of the cell.
+// Cell reads and changes the configuration that all groups of the cell share.
 type Cell interface {
 	State() *config.State
 	// Fresh returns an error unless the state is known to be recent enough to
 	// start work under it.
 	Fresh() error
-	// Change appends a change of grants and returns once it has been applied
-	// or rejected as void.
+	// Change appends a change of grants. It returns nil once the change has been
+	// applied, or is void because a later one was applied before it.
 	Change(ctx context.Context, g config.Grants) error
 }
 
@@ -88,7 +98,7 @@
 	SnapshotAt int64         // records since the last snapshot that trigger the next
 }
 
-// DefaultTiming returns the default timing, which suits current cell sizes.
+// DefaultTiming returns the timing used unless the settings override it.
 func DefaultTiming() Timing {
 	return Timing{
 		Commit: 25 * time.Millisecond, Renew: 2 * time.Second, Lease: 8 * time.Second, Margin: time.Second,
@@ -101,11 +111,11 @@
 type Config struct {
 	Name   string
 	Az     string
-	Self   group.Holder
-	Log    stream.Log
+	Self   group.Holder // this host, as recorded in claims
+	Log    stream.Log   // holds the streams of all groups
 	Cell   Cell
 	Remote Remote
-	Dial   func(hosts.Worker) worker.Worker
+	Dial   func(hosts.Worker) worker.Worker // returns a client of the worker
 	Clock  clock.Clock
 	Logger logr.Logger
 	Timing Timing
@@ -114,37 +124,37 @@
 
 // Group is one group on one entry host, whether or not the host owns it.
 type Group struct {
-	cfg Config
-	log logr.Logger
+	cfg    Config
+	logger logr.Logger
 
 	wake chan struct{} // wakes the loop of Run
 
-	mu           sync.Mutex
-	state        *group.State
-	replay       *stream.Replay
-	epoch        uint64 // the epoch owned; 0 if not the owner
-	wanted       bool   // this host should own the group
-	releasing    bool   // a handover is in progress; new calls are refused
-	ownedAt      time.Time
-	books        *books.Books
-	trust        *trust.Trust
-	queue        *queue.Queue
-	workers      []hosts.Worker
-	renewers     map[string]*leaseRenewer // worker id -> its lease renewer
-	pending      []proposal
-	changed      chan struct{}           // closed after every commit
-	placing      map[jobs.Ref]jobs.Size  // items being placed
-	delayed      map[jobs.Ref]queue.Item // kept out of the queue until retryAt
-	retryAt      map[jobs.Ref]time.Time
-	reserved     map[string]jobs.Size     // team -> total size being placed
-	confirmed    map[books.Attempt]uint64 // attempt -> epoch of the worker's group that confirmed it
-	reasons      map[jobs.ID][]string     // recent explanations of a job's status, newest last
-	inflight     map[string]*inflightCall // SubKey -> call in progress
-	grants       grantState
-	lastSnapshot time.Time
-	lastPurge    time.Time
-	logDown      bool
-	stats        Stats
+	mu            sync.Mutex
+	state         *group.State // durable state, replayed from the stream
+	replay        *stream.Replay
+	epoch         uint64 // the epoch owned; 0 if not the owner
+	wanted        bool   // this host should own the group
+	releasing     bool   // a handover is in progress; new calls are refused
+	ownedAt       time.Time
+	books         *books.Books
+	trust         *trust.Trust
+	queue         *queue.Queue
+	workers       []hosts.Worker
+	renewers      map[string]*leaseRenewer // worker id -> its lease renewer
+	pending       []proposal
+	changed       chan struct{}           // closed and replaced when the state may have changed
+	placing       map[jobs.Ref]jobs.Size  // size of each item being placed
+	delayed       map[jobs.Ref]queue.Item // kept out of the queue until retryAt
+	retryAt       map[jobs.Ref]time.Time
+	placingByTeam map[string]jobs.Size     // team -> total size being placed
+	confirmed     map[books.Attempt]uint64 // attempt -> epoch of the worker's group that confirmed it
+	reasons       map[jobs.ID][]string     // recent explanations of a job's status, newest last
+	inflight      map[string]*inflightCall // group.SubKey of team and call id -> call in progress
+	grants        grantState
+	lastSnapshot  time.Time
+	lastPurge     time.Time
+	logDown       bool // the log did not respond to the last append or read
+	stats         Stats
 }
 
 // Stats counts the operations of a group on this host.
@@ -152,11 +162,11 @@
 	Commits      int64 `json:"commits"`
 	Records      int64 `json:"records"`
 	Starts       int64 `json:"starts"`
-	Takeover     int64 `json:"takeovers"`
-	Fenced       int64 `json:"fenced"`
+	Takeover     int64 `json:"takeovers"` // claims by this host
+	Fenced       int64 `json:"fenced"`    // losses of ownership without a release
 	UnsureStarts int64 `json:"unsureStarts"`
 	Evicted      int64 `json:"evicted"`    // batch tasks stopped for urgent tasks
-	Rebalanced   int64 `json:"rebalanced"` // tasks stopped for teams below their fair share
+	Rebalanced   int64 `json:"rebalanced"` // stop requests for teams below their fair share
 }
 
 // proposal is a set of records that are committed atomically.
@@ -171,15 +181,16 @@
 		cfg.Policy = queue.Fair{}
 	}
 	g := &Group{
-		cfg:  cfg,
-		log:  cfg.Logger.WithName("owner").WithValues("group", cfg.Name),
-		wake: make(chan struct{}, 1),
+		cfg:    cfg,
+		logger: cfg.Logger.WithName("owner").WithValues("group", cfg.Name),
+		wake:   make(chan struct{}, 1),
 	}
 	g.reset()
 	return g
 }
 
-// reset clears the state before a claim, which rebuilds it from the log.
+// reset clears the state before a claim, which rebuilds it from the stream. The
+// caller holds the lock, except in New.
 func (g *Group) reset() {
 	g.state = group.NewState(g.cfg.Name)
 	g.replay = &stream.Replay{Stream: group.StreamOf(g.cfg.Name), Machine: g.state}
@@ -191,7 +202,7 @@
 	g.placing = map[jobs.Ref]jobs.Size{}
 	g.delayed = map[jobs.Ref]queue.Item{}
 	g.retryAt = map[jobs.Ref]time.Time{}
-	g.reserved = map[string]jobs.Size{}
+	g.placingByTeam = map[string]jobs.Size{}
 	g.confirmed = map[books.Attempt]uint64{}
 	g.reasons = map[jobs.ID][]string{}
 	g.inflight = map[string]*inflightCall{}
@@ -268,7 +279,7 @@
 	}
 }
 
-// idleInterval bounds the sleep of the loop without a wake-up.
+// idleInterval is the longest sleep between two passes of the loop in runOwned.
 const idleInterval = 20 * time.Millisecond
 
 // Run claims, runs and releases the group until ctx ends. It returns after the
@@ -280,7 +291,7 @@
 			continue
 		}
 		if err := g.claim(ctx); err != nil {
-			g.log.V(1).Info("claim failed", "err", err.Error())
+			g.logger.V(1).Info("claim failed", "err", err.Error())
 			g.sleep(ctx, claimRetryInterval)
 			continue
 		}
@@ -305,7 +316,9 @@
 	}
 }
 
-// claim replays the group's stream, claims the next epoch and starts it.
+// claim replays the group's stream and claims the next epoch. It then appends a
+// grant record without changes under the new epoch, so that late grant records of
+// earlier owners have no effect.
 func (g *Group) claim(ctx context.Context) (err error) {
 	defer fault.Note(&err, "claim group %q", g.cfg.Name)
 	g.mu.Lock()
@@ -355,9 +368,9 @@
 			return err
 		}
 		g.mu.Lock()
-		atHead := replay.Take(p)
+		atEnd := replay.Take(p)
 		g.mu.Unlock()
-		if atHead {
+		if atEnd {
 			return nil
 		}
 	}
@@ -372,13 +385,14 @@
 	g.grants.seq = 1
 	g.stats.Takeover++
 	g.syncWorkers()
-	g.log.Info("claimed group", "epoch", epoch, "jobs", len(g.state.Jobs), "queued", g.queue.Len())
+	g.logger.Info("claimed group", "epoch", epoch, "jobs", len(g.state.Jobs), "queued", g.queue.Len())
 }
 
 // runOwned runs the group until it is released or its ownership is lost.
 func (g *Group) runOwned(ctx context.Context) {
 	runCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
+	// The end of ctx starts a handover. The loops run until it is complete.
 	defer context.AfterFunc(ctx, func() { g.Want(false) })()
 	g.startRenewers(runCtx)
 	background := g.startBackground(runCtx)
@@ -399,7 +413,8 @@
 	g.stopRenewers()
 }
 
-// startBackground starts all loops except the one that places work.
+// startBackground starts the loops that reconcile attempts, report ends, adjust
+// grants and maintain the stream.
 func (g *Group) startBackground(ctx context.Context) *sync.WaitGroup {
 	var wg sync.WaitGroup
 	for _, loop := range []func(context.Context){g.reconcileLoop, g.reportLoop, g.grantLoop, g.maintenanceLoop} {
@@ -432,11 +447,12 @@
 	if g.epoch == 0 {
 		return
 	}
-	g.log.Info("lost group", "epoch", g.epoch, "why", reason, "owner", g.state.Owner.Host)
+	g.logger.Info("lost group", "epoch", g.epoch, "why", reason, "owner", g.state.Owner.Host)
 	g.epoch = 0
 	g.stats.Fenced++
 }
 
+// encodeBatch returns the stream record of a batch.
 func encodeBatch(b group.Batch) ([]byte, error) {
 	data, err := frame.Encode(b)
 	if err != nil {
--- a/internal/node/owner/home.go
+++ b/internal/node/owner/home.go
@@ -10,18 +10,19 @@
 	"lagooncourse/internal/node/wire"
 )
 
-// This file tracks the attempts of the group's jobs until their end. The
-// workers' groups report ends. Some attempts need a query to the current owner
-// of the worker's group, for example after a start without a response or a
-// failure of that group's previous owner.
+// This file tracks the attempts of the group's jobs until their end. The workers'
+// groups report ends: reportLoop does so for the attempts on this group's workers.
+// If an attempt's state is uncertain, for example after a start request without a
+// response or a change of the owner of the worker's group, the home group queries
+// that group.
 
 const (
-	reportInterval     = 300 * time.Millisecond
-	reportTimeout      = 2 * time.Second
-	requestTimeout     = 2 * time.Second
-	maxQueryBatch      = 500
-	unconfirmedAfterMs = 1500 // time since the start before an unconfirmed attempt is queried
-	maxReportBatch     = 500
+	reportInterval = 300 * time.Millisecond
+	reportTimeout  = 2 * time.Second
+	requestTimeout = 2 * time.Second
+	maxQueryBatch  = 500
+	queryDelayMs   = 1500 // an unconfirmed attempt is queried if it started longer ago
+	maxReportBatch = 500
 )
 
 // reportLoop sends the ends of attempts to their home groups until these have
@@ -43,6 +44,7 @@
 	}
 }
 
+// sendReport sends ends to one home group, and deletes those that it has recorded.
 func (g *Group) sendReport(ctx context.Context, home string, reports []books.Report) {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
@@ -58,11 +60,12 @@
 	}
 }
 
-// Report records the ends of attempts of the group's jobs. An attempt that is
-// not the current one of its task counts as recorded: either its end was
-// recorded before, or its job has been deleted. This requires ownership
-// confirmed by the log, because a later owner may have started the attempt, and
-// its end must not be deleted.
+// Report records the ends of attempts of the group's jobs. The end of an attempt
+// that is not the current one of its task counts as recorded: either it was
+// recorded before, or the job has been deleted. Before it says so, Report confirms
+// in the log that this host owns the group. Otherwise a later owner may have
+// started the attempt, and its end would be deleted at the worker's group before
+// it is recorded.
 func (g *Group) Report(ctx context.Context, msg wire.ReportMsg) (a wire.ReportAnswer, err error) {
 	records, err := g.endRecords(msg)
 	if err == nil && len(records) < len(msg.Reports) {
@@ -82,7 +85,7 @@
 	return a, nil
 }
 
-// endRecords returns the records of the reports that end a current attempt.
+// endRecords returns a record for each report about the current attempt of a task.
 func (g *Group) endRecords(msg wire.ReportMsg) ([]group.Record, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -105,20 +108,21 @@
 	return records, nil
 }
 
-// reconcileLoop queries unconfirmed attempts and stops unwanted ones.
+// reconcileLoop queries unconfirmed attempts and stops attempts that should no
+// longer run.
 func (g *Group) reconcileLoop(ctx context.Context) {
 	every(ctx, g.cfg.Timing.Reconcile, func(ctx context.Context) {
-		for name, queries := range g.unconfirmed() {
+		for name, queries := range g.unconfirmedQueries() {
 			go g.queryAttempts(ctx, name, queries)
 		}
 		g.stopUnwanted(ctx)
 	})
 }
 
-// unconfirmed returns queries for the attempts that their worker's group has not
-// confirmed in its current epoch, by that group. It skips attempts that started
-// less than unconfirmedAfterMs ago.
-func (g *Group) unconfirmed() map[string][]books.Query {
+// unconfirmedQueries returns, for each worker's group, queries for the attempts
+// that the group has not confirmed in its current epoch. It skips attempts that
+// started less than queryDelayMs ago.
+func (g *Group) unconfirmedQueries() map[string][]books.Query {
 	epochs := map[string]uint64{}
 	for _, d := range g.cfg.Remote.Duties() {
 		epochs[d.Group] = d.Epoch
@@ -129,7 +133,7 @@
 	g.eachPlaced(func(ref jobs.Ref, t jobs.Task) {
 		at := books.Attempt{Task: ref.String(), Number: t.Attempt}
 		epoch, ok := g.confirmed[at]
-		if ok && epoch == epochs[t.Group] || g.nowMs()-t.StartMs < unconfirmedAfterMs {
+		if ok && epoch == epochs[t.Group] || g.nowMs()-t.StartMs < queryDelayMs {
 			return
 		}
 		if len(byGroup[t.Group]) < maxQueryBatch {
@@ -139,7 +143,8 @@
 	return byGroup
 }
 
-// eachPlaced calls fn for every placed task. The caller holds the lock.
+// eachPlaced calls fn for every placed task of the jobs that have not ended. The
+// caller holds the lock.
 func (g *Group) eachPlaced(fn func(jobs.Ref, jobs.Task)) {
 	for id, j := range g.state.Jobs {
 		if j.EndMs > 0 {
@@ -187,8 +192,9 @@
 }
 
 // stopUnwanted sends stop requests for attempts that should no longer run: those
-// of cancelled jobs, of gangs that have lost a task, above a lowered limit, and
-// of teams above their fair share while another team is below its own.
+// of cancelled jobs, of gangs with a task that waits again, of teams whose use
+// exceeds their grant, and of teams above their fair share while another team is
+// below its own.
 func (g *Group) stopUnwanted(ctx context.Context) {
 	for _, msg := range g.unwanted() {
 		go func() {
@@ -206,15 +212,15 @@
 func (g *Group) unwanted() []wire.StopMsg {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	over := g.overLimit()
-	for ref := range g.overShare() {
+	over := g.tasksOverLimit()
+	for ref := range g.tasksOverShare() {
 		over[ref] = true
 	}
 	var list []wire.StopMsg
 	g.eachPlaced(func(ref jobs.Ref, t jobs.Task) {
 		j := g.state.Jobs[ref.Job]
-		broken := j.Spec.Kind == jobs.Gang && waitingTasks(j) > 0
-		if len(list) >= maxStops || !t.Cancelling && !broken && !over[ref] {
+		gangBroken := j.Spec.Kind == jobs.Gang && waitingTasks(j) > 0
+		if len(list) >= maxStops || !t.Cancelling && !gangBroken && !over[ref] {
 			return
 		}
 		list = append(list, wire.StopMsg{
--- a/internal/node/owner/house.go
+++ b/internal/node/owner/house.go
@@ -11,16 +11,17 @@
 )
 
 // This file bounds the size of the group's stream and state: it appends
-// snapshots and deletes expired jobs and calls.
+// snapshots and deletes expired jobs and calls. It also dumps the state for
+// operators.
 
 const (
 	maintenanceInterval = time.Second
 	purgeInterval       = time.Minute
 )
 
-// maintenanceLoop appends snapshots well before the log's retention drops the
-// records that they replace, deletes expired jobs and calls, and updates the
-// quarantine of workers.
+// maintenanceLoop appends snapshots, so that the log may drop the records before
+// them, deletes expired jobs and calls, and updates the modes of distrusted
+// workers.
 func (g *Group) maintenanceLoop(ctx context.Context) {
 	every(ctx, maintenanceInterval, func(ctx context.Context) {
 		g.snapshot(ctx)
@@ -45,11 +46,11 @@
 	data, err := g.replay.EncodeSnapshot()
 	g.mu.Unlock()
 	if err != nil {
-		g.log.Error(err, "encoding the snapshot failed")
+		g.logger.Error(err, "encoding the snapshot failed")
 		return
 	}
 	if _, err := g.cfg.Log.Append(ctx, g.replay.Stream, data); err != nil {
-		g.log.V(1).Info("appending the snapshot failed", "err", err.Error())
+		g.logger.V(1).Info("appending the snapshot failed", "err", err.Error())
 		return
 	}
 	// Reading the snapshot back resets the number of records since the newest
@@ -83,6 +84,7 @@
 	_ = g.propose(proposal{records: []group.Record{{Forget: &group.Forget{BeforeMs: before}}}})
 }
 
+// toWorkerAttempt converts an attempt for the worker client.
 func toWorkerAttempt(at books.Attempt) worker.Attempt {
 	return worker.Attempt{Task: at.Task, Number: at.Number}
 }
--- a/internal/node/owner/keep.go
+++ b/internal/node/owner/keep.go
@@ -15,16 +15,16 @@
 )
 
 // This file renews the leases of the group's workers and reconciles the
-// capacity accounts with the workers' inventories.
+// capacity records (package books) with the workers' inventories.
 //
 // A renewal is a long poll: it waits at the worker until the inventory changes,
-// so the group learns of the end of a task at once. If renewals fail, they
-// continue without extending the lease. After the last lease that the worker can
-// have received has expired, all attempts on it are reported as lost.
+// so the end of a task is reported at once. After repeated failures, renewals
+// continue but no longer extend the lease. After the last lease that the worker
+// can have received has expired, all attempts on it are reported as lost.
 
 const (
-	renewRetryInterval = 500 * time.Millisecond
-	maxFailedRenewals  = 2 // failed renewals after which the lease is no longer extended
+	renewRetryInterval = 500 * time.Millisecond // also the interval of checks for new renewers
+	maxFailedRenewals  = 2                      // failed renewals after which the lease is no longer extended
 )
 
 // leaseRenewer renews the lease of one worker.
@@ -36,16 +36,17 @@
 
 	// Guarded by the group's lock.
 	version     uint64       // version of the newest inventory
-	boot        int64        // boot number of the worker at that version
+	boot        int64        // boot id of the worker at that version
 	seen        []books.Seen // inventory at that version
 	failures    int          // consecutive failed renewals
-	leaseExpiry time.Time    // latest time at which the worker's newest lease expires
-	lost        bool
-	started     bool // the loop has been started
+	leaseExpiry time.Time    // by then every lease that the worker can have received has expired
+	lost        bool         // its attempts have been reported as lost
+	started     bool         // the loop has been started
 }
 
-// syncWorkers updates the capacity accounts and the lease renewers from the host
-// list. The caller holds the lock.
+// syncWorkers updates the capacity records, and adds lease renewers for new
+// workers of the host list. Renewers of workers that are no longer listed
+// continue. The caller holds the lock.
 func (g *Group) syncWorkers() {
 	list := make([]books.Worker, 0, len(g.workers))
 	for _, h := range g.workers {
@@ -69,8 +70,8 @@
 	}
 }
 
-// startRenewers starts the loops of all lease renewers, and from then on those of
-// workers that are added to the host list.
+// startRenewers starts the loops of all lease renewers, and checks for new
+// renewers at regular intervals.
 func (g *Group) startRenewers(ctx context.Context) {
 	g.startNewRenewers(ctx)
 	go every(ctx, renewRetryInterval, g.startNewRenewers)
@@ -104,10 +105,11 @@
 	}
 }
 
-// renewLoop renews the lease of one worker until the group is released.
+// renewLoop renews the lease of one worker until the renewer's context ends or
+// this host no longer owns the group in the given epoch.
 func (g *Group) renewLoop(lr *leaseRenewer, epoch uint64) {
 	for lr.ctx.Err() == nil {
-		req, r, ok := g.nextRenewal(lr, epoch)
+		req, renewal, ok := g.nextRenewal(lr, epoch)
 		if !ok {
 			return
 		}
@@ -116,11 +118,11 @@
 			return
 		}
 		if err == nil {
-			g.renewSucceeded(lr, epoch, r, inv)
+			g.renewSucceeded(lr, epoch, renewal, inv)
 			continue
 		}
-		stop, expired := g.renewFailed(lr, epoch, err)
-		if stop {
+		notOwned, expired := g.renewFailed(lr, epoch, err)
+		if notOwned {
 			return
 		}
 		if expired {
@@ -136,21 +138,22 @@
 // nextRenewal returns the next renewal request for a worker. After repeated
 // failures the request no longer extends the lease, so the time by which all of
 // the worker's tasks have stopped stays fixed.
-func (g *Group) nextRenewal(lr *leaseRenewer, epoch uint64) (req worker.RenewRequest, r books.Renewal, ok bool) {
+func (g *Group) nextRenewal(lr *leaseRenewer, epoch uint64) (req worker.RenewRequest, renewal books.Renewal, ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.epoch != epoch {
-		return req, r, false
+		return req, renewal, false
 	}
-	r = g.books.Renewal(lr.host.ID)
+	renewal = g.books.Renewal(lr.host.ID)
 	req = worker.RenewRequest{
-		Token:  worker.Token{Epoch: epoch, Seq: r.Floor},
+		Token:  worker.Token{Epoch: epoch, Seq: renewal.Floor},
 		Since:  lr.version,
 		WaitMs: g.cfg.Timing.Renew.Milliseconds(),
 	}
-	for _, at := range r.Forget {
+	for _, at := range renewal.Forget {
 		req.Forget = append(req.Forget, toWorkerAttempt(at))
 	}
+	// Without an up-to-date inventory, request a full one and do not wait.
 	if lr.failures > 0 || !g.books.Ready(lr.host.ID) {
 		req.WaitMs, req.Since = 0, 0
 	}
@@ -162,30 +165,31 @@
 			lr.leaseExpiry = expiry
 		}
 	}
-	return req, r, true
+	return req, renewal, true
 }
 
 // renewTimeout is the worker client's timeout for a renewal, in addition to its
-// WaitMs. A renewal has no effect at the worker after that time.
+// WaitMs: the default of worker.ClientConfig.Timeout. The lease expiry assumes
+// that a renewal has no effect at the worker after that time.
 const renewTimeout = time.Second
 
 // renewSucceeded applies a worker's answer to a renewal.
-func (g *Group) renewSucceeded(lr *leaseRenewer, epoch uint64, r books.Renewal, inv worker.Inventory) {
+func (g *Group) renewSucceeded(lr *leaseRenewer, epoch uint64, renewal books.Renewal, inv worker.Inventory) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.epoch != epoch {
 		return
 	}
 	if lr.lost {
-		g.log.Info("worker answers again", "worker", lr.host.ID)
+		g.logger.Info("worker answers again", "worker", lr.host.ID)
 	}
 	if inv.Same && inv.Boot != lr.boot {
 		lr.version = 0 // the restarted worker reached the same version by chance; request the full inventory
 		return
 	}
 	lr.failures, lr.lost, lr.version, lr.boot = 0, false, inv.Version, inv.Boot
-	lr.seen = seenAttempts(inv, lr.seen, r.Forget)
-	ends := g.books.Inventory(lr.host.ID, books.Inventory{Renewal: r, Boot: inv.Boot, Seen: lr.seen})
+	lr.seen = seenAttempts(inv, lr.seen, renewal.Forget)
+	ends := g.books.Inventory(lr.host.ID, books.Inventory{Renewal: renewal, Boot: inv.Boot, Seen: lr.seen})
 	g.updateTrust(ends)
 	if len(ends) > 0 {
 		go g.sendReports(lr.ctx)
@@ -203,13 +207,13 @@
 		}
 		job, _, _ := strings.Cut(r.Attempt.Task, "/")
 		if g.trust.Note(trust.End{Worker: r.Worker, Job: job, OK: r.How == jobs.EndOK, AtMs: now}) {
-			g.log.Info("worker trust changed", "worker", r.Worker, "ok", r.How == jobs.EndOK)
+			g.logger.Info("worker trust changed", "worker", r.Worker, "ok", r.How == jobs.EndOK)
 			g.books.SetMode(r.Worker, modeOf(g.trust.State(r.Worker, now)))
 		}
 	}
 }
 
-// modeOf returns the mode of a worker in trust state s.
+// modeOf returns which attempts may be placed on a worker in trust state s.
 func modeOf(s trust.State) books.Mode {
 	switch s {
 	case trust.Quarantined:
@@ -228,7 +232,7 @@
 	}
 }
 
-// seenAttempts converts a worker's inventory for the capacity accounts. An
+// seenAttempts converts a worker's inventory for the capacity records. An
 // inventory marked Same equals the last one without the attempts that the
 // renewal told the worker to delete.
 func seenAttempts(inv worker.Inventory, last []books.Seen, deleted []books.Attempt) []books.Seen {
@@ -251,7 +255,8 @@
 	return list
 }
 
-// endHow converts the end that a worker reports.
+// endHow converts the end that a worker reports. Any unlisted value counts as
+// stopped.
 func endHow(e worker.End) jobs.How {
 	switch e {
 	case worker.EndOK:
@@ -267,7 +272,7 @@
 // renewFailed handles a failed renewal. It reports whether the loop must stop
 // because this host no longer owns the group, and whether every lease that the
 // worker can have received has expired.
-func (g *Group) renewFailed(lr *leaseRenewer, epoch uint64, err error) (stop, expired bool) {
+func (g *Group) renewFailed(lr *leaseRenewer, epoch uint64, err error) (notOwned, expired bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.epoch != epoch {
@@ -287,10 +292,10 @@
 }
 
 // markWorkerLost reports all attempts on a worker with an expired lease as lost,
-// if this host still owns the group. After a pause of this host, its renewals
-// have failed too, but a new owner may have renewed the worker's lease. Ownership
-// is confirmed after the lease has expired, so that a host that claims the group
-// later finds the worker's tasks stopped.
+// if this host still owns the group. If this host was paused, its renewals failed
+// although a new owner may have renewed the worker's lease. Ownership is confirmed
+// only after the lease has expired, so a host that claims the group later finds
+// the worker's tasks stopped.
 func (g *Group) markWorkerLost(lr *leaseRenewer, epoch uint64, err error) {
 	if g.confirmOwner(lr.ctx) != nil {
 		return
@@ -302,7 +307,7 @@
 	}
 	lr.lost = true
 	ends := g.books.LoseWorker(lr.host.ID)
-	g.log.Info("worker is lost", "worker", lr.host.ID, "tasks", len(ends), "err", err.Error())
+	g.logger.Info("worker is lost", "worker", lr.host.ID, "tasks", len(ends), "err", err.Error())
 	if len(ends) > 0 {
 		go g.sendReports(lr.ctx)
 	}
--- a/internal/node/owner/limit.go
+++ b/internal/node/owner/limit.go
@@ -10,12 +10,13 @@
 )
 
 // This file manages the group's grants, its parts of the teams' limits. A grant
-// is increased from the team's unassigned pool when waiting work needs it, and
-// decreased when it is idle, earlier if another group requests a grant.
+// is increased from the pool, the part of the team's limit that is granted to no
+// group, when waiting work needs it. It is decreased when it is idle, earlier if
+// another group requests a grant.
 
 const (
 	grantInterval        = 50 * time.Millisecond
-	grantTimeout         = 3 * time.Second
+	grantTimeout         = 3 * time.Second        // timeout of one try to append a change
 	idleGrantTimeout     = 2 * time.Second        // idle time after which a grant is decreased
 	contestedIdleTimeout = 200 * time.Millisecond // the same while another group requests a grant
 	grantRequestTTL      = time.Second            // lifetime of a grant request that is not repeated
@@ -25,13 +26,14 @@
 type grantState struct {
 	seq       uint64 // of the newest grant record in this epoch
 	requests  map[string]grantRequest
-	idleSince map[string]time.Time // team -> time since which its grant is larger than needed
+	idleSince map[string]time.Time // team -> time from which on its grant has exceeded its use
 	// reduced holds the grants that are being decreased. They apply before the
 	// record of the decrease is appended.
 	reduced map[string]jobs.Size
 }
 
-// grantRequest is the additional size that waiting work needs under a limit.
+// grantRequest is the size that a team's waiting work needs in addition to the
+// team's use.
 type grantRequest struct {
 	size jobs.Size
 	at   time.Time
@@ -42,7 +44,8 @@
 	return grantState{requests: map[string]grantRequest{}, idleSince: map[string]time.Time{}, reduced: map[string]jobs.Size{}}
 }
 
-// request records that a team needs size in addition to its use.
+// request records that a team needs size in addition to its use. Requests that
+// follow each other within grantRequestTTL are combined into the largest.
 func (gr *grantState) request(team string, size jobs.Size, now time.Time) {
 	req := gr.requests[team]
 	if now.Sub(req.at) > grantRequestTTL {
@@ -63,8 +66,9 @@
 	return teams
 }
 
-// ceiling returns the total size of the team's tasks that the group may place
-// now. The caller holds the lock.
+// ceiling returns the total size of the team's tasks that the group may place now:
+// the group's grant, or less while the grant is being decreased or the sum of all
+// grants exceeds the team's limit. The caller holds the lock.
 func (g *Group) ceiling(team string, cell *config.State) jobs.Size {
 	c := cell.Ceiling(team, g.cfg.Name)
 	if lowered, ok := g.grants.reduced[team]; ok {
@@ -85,7 +89,7 @@
 }
 
 // applyGrants appends the change and waits until it has been applied or is void.
-// It retries with the same fencing token while the outcome is unknown.
+// It retries with the same fencing token after any error.
 func (g *Group) applyGrants(ctx context.Context, change config.Grants) {
 	for ctx.Err() == nil {
 		rctx, cancel := context.WithTimeout(ctx, grantTimeout)
@@ -166,7 +170,7 @@
 // lock.
 func (g *Group) nextGrant(team string, cell *config.State, contested bool, now time.Time) (config.Grant, bool) {
 	current := cell.Grants[team][g.cfg.Name]
-	used := g.state.Used[team].Plus(g.reserved[team])
+	used := g.state.Used[team].Plus(g.placingByTeam[team])
 	if req, ok := g.grants.requests[team]; ok {
 		if now.Sub(req.at) > grantRequestTTL {
 			delete(g.grants.requests, team)
@@ -178,9 +182,9 @@
 	return g.decreasedGrant(team, current, used, contested, now)
 }
 
-// increasedGrant returns a larger grant that covers the next waiting item and, as
-// far as poolDivisor allows, the rest of the demand. It returns false if the
-// grant suffices already or the pool is too small for the next item.
+// increasedGrant returns a larger grant that covers the next waiting item, and of
+// the remaining demand as much as 1/poolDivisor of the pool allows. It returns
+// false if the grant suffices already or the pool is too small for the next item.
 func increasedGrant(current, used, next, demand, pool jobs.Size) (jobs.Size, bool) {
 	maximum := current.Plus(pool)
 	need := used.Plus(next)
@@ -191,12 +195,13 @@
 	return need.Most(used.Plus(demand).Least(extended)).Most(current).Least(maximum), true
 }
 
-// poolDivisor bounds what a grant takes from the pool for more than the next
-// item: 1/poolDivisor of the pool.
+// poolDivisor bounds the part of the pool that one increase takes for more than
+// the next item. The rest stays available to other groups.
 const poolDivisor = 4
 
 // decreasedGrant returns a grant reduced to the current use, once the excess has
-// been idle for long enough. The caller holds the lock.
+// been idle for long enough. A grant that no other group requests is kept while
+// the team has waiting work. The caller holds the lock.
 func (g *Group) decreasedGrant(team string, current, used jobs.Size, contested bool, now time.Time) (config.Grant, bool) {
 	if current.Fits(used) {
 		delete(g.grants.idleSince, team)
@@ -207,11 +212,11 @@
 		g.grants.idleSince[team] = now
 		return config.Grant{}, false
 	}
-	wait := idleGrantTimeout
+	idleTimeout := idleGrantTimeout
 	if contested {
-		wait = contestedIdleTimeout
+		idleTimeout = contestedIdleTimeout
 	}
-	if now.Sub(since) < wait || !contested && !g.queue.Demand()[team].IsZero() {
+	if now.Sub(since) < idleTimeout || !contested && !g.queue.Demand()[team].IsZero() {
 		return config.Grant{}, false
 	}
 	delete(g.grants.idleSince, team)
@@ -220,10 +225,10 @@
 	return config.Grant{Team: team, Amount: lowered}, true
 }
 
-// overLimit returns the placed tasks to stop because their team's use exceeds its
-// grant. Batch tasks stop first, then gangs, services and urgent tasks, the most
-// recently started first. The caller holds the lock.
-func (g *Group) overLimit() map[jobs.Ref]bool {
+// tasksOverLimit returns the placed tasks to stop because their team's use exceeds
+// its ceiling. It selects them in the order of stopOrder. The caller holds the
+// lock.
+func (g *Group) tasksOverLimit() map[jobs.Ref]bool {
 	cell := g.cfg.Cell.State()
 	over := map[jobs.Ref]bool{}
 	for team, used := range g.state.Used {
@@ -242,32 +247,33 @@
 	return over
 }
 
-// stopOrder returns a team's placed tasks in the order in which to stop them. The
-// caller holds the lock.
+// stopOrder returns a team's placed tasks in the order in which to stop them: the
+// least urgent kind first (see jobs.Kinds), within a kind the most recently
+// started task. The caller holds the lock.
 func (g *Group) stopOrder(team string) []jobs.Ref {
 	type candidate struct {
-		ref  jobs.Ref
-		rank int
-		at   int64
+		ref     jobs.Ref
+		rank    int
+		startMs int64
 	}
 	var list []candidate
 	g.eachPlaced(func(ref jobs.Ref, t jobs.Task) {
 		if spec := g.state.Jobs[ref.Job].Spec; spec.Team == team {
-			list = append(list, candidate{ref: ref, rank: spec.Kind.Rank(), at: t.StartMs})
+			list = append(list, candidate{ref: ref, rank: spec.Kind.Rank(), startMs: t.StartMs})
 		}
 	})
 	sort.Slice(list, func(i, j int) bool {
 		if list[i].rank != list[j].rank {
 			return list[i].rank > list[j].rank
 		}
-		if list[i].at != list[j].at {
-			return list[i].at > list[j].at
+		if list[i].startMs != list[j].startMs {
+			return list[i].startMs > list[j].startMs
 		}
 		return list[i].ref.String() < list[j].ref.String()
 	})
 	refs := make([]jobs.Ref, len(list))
-	for i, p := range list {
-		refs[i] = p.ref
+	for i, c := range list {
+		refs[i] = c.ref
 	}
 	return refs
 }
--- a/internal/node/owner/place.go
+++ b/internal/node/owner/place.go
@@ -15,27 +15,28 @@
 	"lagooncourse/internal/node/wire"
 )
 
-// This file places the waiting jobs of the group: it reserves capacity, records
-// the start intents, and starts the attempts once these are durable.
+// This file places the waiting items of the queue: it reserves capacity, records
+// the start intents, and starts the attempts once the intents are durable.
 
 const (
-	maxPassItems      = 256 // items placed in one pass
-	maxPassRemote     = 32  // items of one pass that are tried at other groups
-	blockedRetryDelay = 100 * time.Millisecond
-	urgentRetryDelay  = 10 * time.Millisecond
-	maxReasons        = 8 // per job
+	maxPassItems              = 256 // items tried in one pass over the queue
+	maxPassRemote             = 32  // items of one pass that are tried at other groups
+	placementRetryDelay       = 100 * time.Millisecond
+	urgentPlacementRetryDelay = 10 * time.Millisecond
+	maxReasons                = 8 // per job
 )
 
-// plan is the placement of a queue item in progress.
-type plan struct {
-	epoch uint64 // epoch in which the plan was made
+// placement is the placing of one queue item, in progress.
+type placement struct {
+	epoch uint64 // epoch in which the placement began
 	item  queue.Item
 	tasks []jobs.Ref
 	asks  []books.Ask
-	sites []jobs.Site
+	sites []jobs.Site // group and worker of each attempt
 }
 
-// schedule runs one pass over the queue.
+// schedule places waiting items in one pass over the queue. It does nothing while
+// the log does not respond or the configuration may be out of date.
 func (g *Group) schedule(ctx context.Context) {
 	g.mu.Lock()
 	if g.epoch == 0 || g.logDown {
@@ -48,15 +49,15 @@
 	}
 	g.requeueDue()
 	g.books.Lapse(g.nowMs())
-	remote := g.pass()
+	remote := g.placeItems()
 	g.mu.Unlock()
 	for _, p := range remote {
 		go g.placeRemote(ctx, p)
 	}
 }
 
-// requeueDue returns delayed items to the queue whose delay is over. The caller
-// holds the lock.
+// requeueDue returns the items whose delay is over to the queue. The caller holds
+// the lock.
 func (g *Group) requeueDue() {
 	now := g.cfg.Clock.Now()
 	for ref, at := range g.retryAt {
@@ -79,22 +80,22 @@
 	g.retryAt[it.Ref] = g.cfg.Clock.Now().Add(d)
 }
 
-// stillWaiting reports whether the item's task is waiting, or its gang is ready.
-// The caller holds the lock.
+// stillWaiting reports whether the item's task is waiting, or whether its gang can
+// start. The caller holds the lock.
 func (g *Group) stillWaiting(it queue.Item) bool {
 	j := g.state.Jobs[it.Ref.Job]
 	if j == nil {
 		return false
 	}
 	if it.Kind == jobs.Gang {
-		return gangReady(j)
+		return gangCanStart(j)
 	}
 	return j.Tasks[it.Ref.Index].State == jobs.Waiting
 }
 
-// gangReady reports whether a gang can start: at least one of its tasks is
+// gangCanStart reports whether a gang can start: at least one of its tasks is
 // waiting, and all others have ended.
-func gangReady(j *jobs.Job) bool {
+func gangCanStart(j *jobs.Job) bool {
 	waiting := 0
 	for _, t := range j.Tasks {
 		switch {
@@ -107,13 +108,13 @@
 	return waiting > 0
 }
 
-// pass places the items that fit on the group's own workers and returns plans for
-// those to be tried at other groups. The caller holds the lock.
-func (g *Group) pass() []*plan {
+// placeItems places the items that fit on the group's own workers and returns
+// placements for those to be tried at other groups. The caller holds the lock.
+func (g *Group) placeItems() []*placement {
 	cell := g.cfg.Cell.State()
-	view, _ := g.view(cell)
+	view, _ := g.policyView(cell)
 	p := g.queue.Pass(view)
-	var remote []*plan
+	var remote []*placement
 	for range maxPassItems {
 		it, ok := p.Next()
 		if !ok {
@@ -124,7 +125,7 @@
 			p.Blocked(it)
 			continue
 		}
-		pl := g.planFor(it)
+		pl := g.newPlacement(it)
 		switch {
 		case g.azAllows(it, cell) && g.reserveLocal(pl):
 			p.Placed(it)
@@ -134,7 +135,7 @@
 			p.Placed(it)
 			g.beginPlacing(pl)
 			remote = append(remote, pl)
-			p.Blocked(it)
+			p.Blocked(it) // other items of this shape do not fit here either
 		default:
 			g.explain(it.Ref.Job, "no worker of the group has enough free capacity for "+it.Size.String())
 			g.evict(pl, cell)
@@ -149,9 +150,9 @@
 	return !cell.AzOut(g.cfg.Az) && (it.Az == "" || it.Az == g.cfg.Az)
 }
 
-// view returns the policy's input, and the size of each team's waiting work in
-// the whole fleet. The caller holds the lock.
-func (g *Group) view(cell *config.State) (v queue.View, waiting map[string]jobs.Size) {
+// policyView returns the input of the queue policy, and the size of each team's
+// waiting work in the whole fleet. The caller holds the lock.
+func (g *Group) policyView(cell *config.State) (v queue.View, waiting map[string]jobs.Size) {
 	v = queue.View{NowMs: g.nowMs(), Used: map[string]jobs.Size{}, Share: map[string]int64{}}
 	waiting = map[string]jobs.Size{}
 	for team, size := range g.queue.Demand() {
@@ -174,19 +175,20 @@
 	for team, used := range g.state.Used {
 		v.Used[team] = v.Used[team].Plus(used)
 	}
-	for team, plan := range cell.Plans {
-		v.Share[team] = plan.Share
+	for team, p := range cell.Plans {
+		v.Share[team] = p.Share
 	}
 	return v, waiting
 }
 
 // blockReason returns why the item cannot start under the team's limit, or "" if
-// it can. The caller holds the lock.
+// it can. It requests a larger grant if one would allow the start. The caller
+// holds the lock.
 func (g *Group) blockReason(it queue.Item, cell *config.State) string {
 	if !it.Total().Fits(cell.Limit(it.Team)) {
 		return fmt.Sprintf("needs %s, more than the limit of team %q", it.Total(), it.Team)
 	}
-	used := g.state.Used[it.Team].Plus(g.reserved[it.Team])
+	used := g.state.Used[it.Team].Plus(g.placingByTeam[it.Team])
 	if !used.Plus(it.Total()).Fits(g.ceiling(it.Team, cell)) {
 		g.grants.request(it.Team, it.Total(), g.cfg.Clock.Now())
 		return fmt.Sprintf("waits for a larger grant under the limit of team %q", it.Team)
@@ -194,11 +196,11 @@
 	return ""
 }
 
-// planFor returns a plan with the next attempts of an item's waiting tasks. The
-// caller holds the lock.
-func (g *Group) planFor(it queue.Item) *plan {
+// newPlacement returns a placement with the next attempts of an item's waiting
+// tasks. The caller holds the lock.
+func (g *Group) newPlacement(it queue.Item) *placement {
 	j := g.state.Jobs[it.Ref.Job]
-	pl := &plan{epoch: g.epoch, item: it}
+	pl := &placement{epoch: g.epoch, item: it}
 	until := g.nowMs() + g.cfg.Timing.Reserve.Milliseconds()
 	for i := it.Ref.Index; i < len(j.Tasks) && len(pl.tasks) < it.Count; i++ {
 		if j.Tasks[i].State != jobs.Waiting {
@@ -212,19 +214,19 @@
 	return pl
 }
 
-// reserveLocal reserves capacity for all attempts of a plan on the group's own
-// workers, or for none. The caller holds the lock.
-func (g *Group) reserveLocal(pl *plan) bool {
+// reserveLocal reserves capacity for all attempts of a placement on the group's
+// own workers, or for none. The caller holds the lock.
+func (g *Group) reserveLocal(pl *placement) bool {
 	slots, ok := reserveAll(g.books, pl.asks, g.nowMs())
 	if !ok {
 		return false
 	}
-	pl.sites = sites(g.cfg.Name, slots)
+	pl.sites = toSites(g.cfg.Name, slots)
 	return true
 }
 
-// sites converts the reserved slots of a group.
-func sites(group string, slots []books.Slot) []jobs.Site {
+// toSites returns the sites of the slots reserved in a group.
+func toSites(group string, slots []books.Slot) []jobs.Site {
 	list := make([]jobs.Site, len(slots))
 	for i, s := range slots {
 		list[i] = jobs.Site{Group: group, Worker: s.Worker, Boot: s.Boot}
@@ -248,33 +250,33 @@
 	return slots, true
 }
 
-// beginPlacing counts the item as used by its team until it is placed or its plan
-// is cancelled. The caller holds the lock.
-func (g *Group) beginPlacing(pl *plan) {
+// beginPlacing counts the item as used by its team until it is placed or its
+// placement is cancelled. The caller holds the lock.
+func (g *Group) beginPlacing(pl *placement) {
 	it := pl.item
 	g.placing[it.Ref] = it.Total()
-	g.reserved[it.Team] = g.reserved[it.Team].Plus(it.Total())
+	g.placingByTeam[it.Team] = g.placingByTeam[it.Team].Plus(it.Total())
 }
 
-// endPlacing reverts beginPlacing. The caller holds the lock.
-func (g *Group) endPlacing(pl *plan) {
+// endPlacing ends the count of beginPlacing. The caller holds the lock.
+func (g *Group) endPlacing(pl *placement) {
 	it := pl.item
 	size, ok := g.placing[it.Ref]
 	if !ok {
 		return
 	}
 	delete(g.placing, it.Ref)
-	remaining := g.reserved[it.Team].Minus(size)
+	remaining := g.placingByTeam[it.Team].Minus(size)
 	if remaining.IsZero() {
-		delete(g.reserved, it.Team)
+		delete(g.placingByTeam, it.Team)
 		return
 	}
-	g.reserved[it.Team] = remaining
+	g.placingByTeam[it.Team] = remaining
 }
 
-// proposeStarts proposes the start intents of a fully reserved plan. The attempts
-// start once these are durable. The caller holds the lock.
-func (g *Group) proposeStarts(pl *plan) {
+// proposeStarts proposes the start intents of a fully reserved placement. The
+// attempts start once the intents are durable. The caller holds the lock.
+func (g *Group) proposeStarts(pl *placement) {
 	records := make([]group.Record, len(pl.tasks))
 	for i, ref := range pl.tasks {
 		records[i] = group.Record{Start: &group.Start{
@@ -283,13 +285,13 @@
 	}
 	err := g.propose(proposal{records: records, done: func(err error) { g.startsCommitted(pl, err) }})
 	if err != nil {
-		g.cancelPlan(pl, err.Error())
+		g.cancelPlacement(pl, err.Error())
 	}
 }
 
-// cancelPlan cancels a plan whose start intents are not recorded, and retries the
-// item later. The caller holds the lock.
-func (g *Group) cancelPlan(pl *plan, reason string) {
+// cancelPlacement cancels a placement whose start intents are not recorded, and
+// retries the item later. The caller holds the lock.
+func (g *Group) cancelPlacement(pl *placement, reason string) {
 	if pl.epoch != g.epoch {
 		return
 	}
@@ -306,18 +308,20 @@
 // retryDelay returns the delay before an item of kind k is retried.
 func retryDelay(k jobs.Kind) time.Duration {
 	if k == jobs.Urgent {
-		return urgentRetryDelay
+		return urgentPlacementRetryDelay
 	}
-	return blockedRetryDelay
+	return placementRetryDelay
 }
 
-// startsCommitted starts the attempts whose intents are durable. An attempt whose
-// task was cancelled first has no intent and is dropped.
-func (g *Group) startsCommitted(pl *plan, err error) {
+// startsCommitted is called with the outcome of proposeStarts. It starts the
+// attempts whose intents are durable, or cancels the placement. A task that was
+// cancelled before its intent was applied has none, so its reservation is
+// cancelled.
+func (g *Group) startsCommitted(pl *placement, err error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if err != nil {
-		g.cancelPlan(pl, err.Error())
+		g.cancelPlacement(pl, err.Error())
 		return
 	}
 	if pl.epoch != g.epoch {
@@ -340,8 +344,8 @@
 	}
 }
 
-// placeRemote tries to place a plan on the workers of other groups.
-func (g *Group) placeRemote(ctx context.Context, pl *plan) {
+// placeRemote tries to place an item on the workers of other groups.
+func (g *Group) placeRemote(ctx context.Context, pl *placement) {
 	ok := g.reserveRemote(ctx, pl)
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -349,7 +353,7 @@
 		return
 	}
 	if !ok {
-		g.cancelPlan(pl, "no group has enough free capacity for "+pl.item.Size.String())
+		g.cancelPlacement(pl, "no group has enough free capacity for "+pl.item.Size.String())
 		g.evict(pl, g.cfg.Cell.State())
 		return
 	}
@@ -360,11 +364,12 @@
 const reserveTimeout = time.Second
 
 // reserveRemote tries to reserve capacity at the groups that seem to have enough.
-// It starts with the fullest group, to limit fragmentation in the others. A gang
-// is placed in a single group, so it waits until one has capacity for all of it.
-func (g *Group) reserveRemote(ctx context.Context, pl *plan) bool {
+// It starts with the group with the least free CPU, to limit fragmentation in the
+// others. A gang is placed in a single group, so it waits until one has capacity
+// for all of it.
+func (g *Group) reserveRemote(ctx context.Context, pl *placement) bool {
 	cell := g.cfg.Cell.State()
-	for _, d := range candidates(g.cfg.Remote.Duties(), pl.item, cell) {
+	for _, d := range candidateGroups(g.cfg.Remote.Duties(), pl.item, cell) {
 		if d.Group == g.cfg.Name {
 			continue
 		}
@@ -374,7 +379,7 @@
 		})
 		cancel()
 		if err == nil && len(a.Slots) == len(pl.asks) {
-			pl.sites = sites(d.Group, a.Slots)
+			pl.sites = toSites(d.Group, a.Slots)
 			return true
 		}
 		if err != nil && fault.RanOf(err) == fault.Unknown {
@@ -386,9 +391,9 @@
 	return false
 }
 
-// candidates returns the groups whose free capacity may fit the item, fullest
-// first.
-func candidates(duties []wire.Duty, it queue.Item, cell *config.State) []wire.Duty {
+// candidateGroups returns the groups whose free capacity may suffice for the item,
+// the group with the least free CPU first.
+func candidateGroups(duties []wire.Duty, it queue.Item, cell *config.State) []wire.Duty {
 	var list []wire.Duty
 	for _, d := range duties {
 		if cell.AzOut(d.Az) || it.Az != "" && it.Az != d.Az {
--- a/internal/node/owner/serve.go
+++ b/internal/node/owner/serve.go
@@ -11,10 +11,11 @@
 	"lagooncourse/internal/plat/worker"
 )
 
-// This file serves the home groups of jobs that run on the group's workers. They
-// reserve capacity, start and stop attempts, and query the state of attempts.
+// This file serves requests from the home groups of jobs: they reserve capacity on
+// the group's workers, start and stop attempts there, and query their state. It
+// also drains workers.
 
-// Reserve reserves capacity for all attempts of another group's plan, or for
+// Reserve reserves capacity for all attempts that another group is placing, or for
 // none.
 func (g *Group) Reserve(_ context.Context, msg wire.ReserveMsg) (a wire.ReserveAnswer, err error) {
 	g.mu.Lock()
@@ -48,8 +49,8 @@
 	return nil
 }
 
-// Start starts a reserved attempt. The answer Absent means that the attempt does
-// not run and never will.
+// Start starts a reserved attempt. The place books.Absent in the answer means that
+// the attempt does not run and never will.
 func (g *Group) Start(ctx context.Context, msg wire.StartMsg) (a wire.StartAnswer, err error) {
 	lr, order, epoch, err := g.beginStart(msg)
 	if err != nil {
@@ -77,8 +78,8 @@
 	return wire.StartAnswer{Place: books.Unsure}, nil
 }
 
-// beginStart marks the start request as sent. A nil renewer means that the
-// attempt must not start.
+// beginStart marks the attempt as being started, before the request is sent. A nil
+// renewer means that the attempt must not start.
 func (g *Group) beginStart(msg wire.StartMsg) (lr *leaseRenewer, order books.Order, epoch uint64, err error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -96,6 +97,7 @@
 	return g.renewers[order.Worker], order, g.epoch, nil
 }
 
+// startRequest returns the request that starts an attempt on its worker.
 func startRequest(msg wire.StartMsg, epoch uint64, order books.Order) worker.StartRequest {
 	return worker.StartRequest{
 		Token:   worker.Token{Epoch: epoch, Seq: order.Seq},
@@ -107,8 +109,8 @@
 	}
 }
 
-// Stop asks one of the group's workers to stop an attempt. The end is reported
-// like any other.
+// Stop sends a stop request to the worker of an attempt. The end is reported like
+// any other. Stop returns nil for an attempt that is not on the group's workers.
 func (g *Group) Stop(ctx context.Context, msg wire.StopMsg) error {
 	g.mu.Lock()
 	if g.epoch == 0 {
@@ -168,15 +170,15 @@
 func (g *Group) attemptsToDrain(cell *config.State) []books.Attempt {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	out := cell.AzOut(g.cfg.Az)
+	azOut := cell.AzOut(g.cfg.Az)
 	var list []books.Attempt
 	for _, h := range g.workers {
-		if !out && h.State != hosts.Leaving {
+		if !azOut && h.State != hosts.Leaving {
 			continue
 		}
-		for _, b := range g.books.Running(h.ID) {
+		for _, r := range g.books.Running(h.ID) {
 			if len(list) < maxDrainBatch {
-				list = append(list, b.Attempt)
+				list = append(list, r.Attempt)
 			}
 		}
 	}
--- a/internal/node/owner/watch.go
+++ b/internal/node/owner/watch.go
@@ -10,15 +10,15 @@
 )
 
 // This file updates the queue from the durable state. A task is in the queue, or
-// delayed before a retry, while its state is Waiting; a gang while it can start.
+// delayed before a retry, while its state is Waiting. A gang is one item, which is
+// in the queue while the gang can start.
 
 // taskObserver updates the queue at every change of a task.
 type taskObserver Group
 
 var _ group.Observer = (*taskObserver)(nil)
 
-// TaskChanged implements group.Observer. It is called with the lock held, or
-// during a claim.
+// TaskChanged implements group.Observer. It is called with the lock held.
 func (o *taskObserver) TaskChanged(j *jobs.Job, index int, before jobs.Task) {
 	g := (*Group)(o)
 	t := j.Tasks[index]
@@ -38,14 +38,14 @@
 		return
 	}
 	if t.Failures > 0 && before.State == jobs.Placed {
-		g.requeueAfter(queueItem(j, index), failureDelay)
+		g.requeueAfter(queueItem(j, index), failedTaskRetryDelay)
 		return
 	}
 	g.queue.Add(queueItem(j, index))
 }
 
-// failureDelay is the delay before a failed task is retried.
-const failureDelay = 500 * time.Millisecond
+// failedTaskRetryDelay is the delay before a failed task is retried.
+const failedTaskRetryDelay = 500 * time.Millisecond
 
 // waitingTasks returns the number of the job's waiting tasks.
 func waitingTasks(j *jobs.Job) int {
@@ -61,7 +61,7 @@
 // gangChanged updates the queue after a change of a gang's task.
 func (g *Group) gangChanged(j *jobs.Job) {
 	ref := jobs.Ref{Job: j.ID}
-	if !gangReady(j) {
+	if !gangCanStart(j) {
 		g.queue.Remove(ref)
 		return
 	}
