--- a/internal/tool/gauge/daemon.go
+++ b/internal/tool/gauge/daemon.go
@@ -14,9 +14,9 @@
 	"lagooncourse/internal/tool/scene"
 )
 
-// Config describes a measurement.
+// Config configures Measure.
 type Config struct {
-	Progress io.Writer // gets a line for each step; nil for none
+	Progress io.Writer // receives a line for each step; nil for none
 }
 
 const (
@@ -24,53 +24,53 @@
 	observeTime = 4 * time.Second
 )
 
-// Measure takes all slopes.
+// Measure measures all slopes.
 func Measure(ctx context.Context, cfg Config) ([]Slope, error) {
-	say := func(what string) {
+	progress := func(what string) {
 		if cfg.Progress != nil {
 			fmt.Fprintln(cfg.Progress, "measuring:", what)
 		}
 	}
 	var list []Slope
 	for _, m := range []func() Slope{
-		recordBytes, applyTime, jobMemory, snapshotBytes, decideTime, reserveTime,
+		recordBytes, applyTime, jobMemory, snapshotBytes, chooseTime, reserveTime,
 		renewalBytes, renewalTime, descriptionBytes, configMemory, configTime,
 	} {
 		list = append(list, m())
-		say(list[len(list)-1].Name)
+		progress(list[len(list)-1].Name)
 	}
-	daemons, err := measureDaemons(ctx, say)
+	daemons, err := measureDaemons(ctx, progress)
 	return append(list, daemons...), err
 }
 
-// idle is what a cell of real daemons without work costs.
-type idle struct{ control, cpu, heap float64 }
+// idleCost is the cost of one idle entry host per second, and its heap in bytes.
+type idleCost struct{ controlBytesPerS, cpuNsPerS, heapBytes float64 }
 
-// measureDaemons runs real entry hosts on the loopback address without work
-// and measures what control costs each of them.
-func measureDaemons(ctx context.Context, say func(string)) ([]Slope, error) {
+// measureDaemons measures the control overhead of idle entry hosts, which run on
+// the loopback address, at several cell sizes.
+func measureDaemons(ctx context.Context, progress func(string)) ([]Slope, error) {
 	sizes := []int{4, 8, 16, 32}
-	measured := map[int]idle{}
+	measured := map[int]idleCost{}
 	for _, n := range sizes {
-		say(fmt.Sprintf("%d idle entry hosts", n))
+		progress(fmt.Sprintf("%d idle entry hosts", n))
 		m, err := measureIdle(ctx, n)
 		if err != nil {
 			return nil, err
 		}
 		measured[n] = m
 	}
-	of := func(name, unit string, y func(idle) float64) Slope {
+	fit := func(name, unit string, y func(idleCost) float64) Slope {
 		return Fit(name, "entry hosts", unit, points(sizes, func(n int) float64 { return y(measured[n]) }))
 	}
 	return []Slope{
-		of("control bytes of an idle entry host", "bytes/s sent", func(m idle) float64 { return m.control }),
-		of("processor time of an idle entry host with its share of the stand-ins", "ns/s", func(m idle) float64 { return m.cpu }),
-		of("memory of an idle entry host with its share of the stand-ins", "bytes", func(m idle) float64 { return m.heap }),
+		fit("control bytes of an idle entry host", "bytes/s sent", func(m idleCost) float64 { return m.controlBytesPerS }),
+		fit("processor time of an idle entry host with its share of the stand-ins", "ns/s", func(m idleCost) float64 { return m.cpuNsPerS }),
+		fit("memory of an idle entry host with its share of the stand-ins", "bytes", func(m idleCost) float64 { return m.heapBytes }),
 	}, nil
 }
 
-// measureIdle runs n entry hosts with four workers each.
-func measureIdle(ctx context.Context, n int) (m idle, err error) {
+// measureIdle measures a cell of n idle entry hosts with four workers each.
+func measureIdle(ctx context.Context, n int) (m idleCost, err error) {
 	runtime.GC()
 	var before runtime.MemStats
 	runtime.ReadMemStats(&before)
@@ -85,17 +85,17 @@
 	if err := pause(ctx, settleTime); err != nil {
 		return m, err
 	}
-	sent, cpu := c.ControlBytes(), processorTime()
+	sentBefore, cpuBefore := c.ControlBytes(), processCPUTime()
 	if err := pause(ctx, observeTime); err != nil {
 		return m, err
 	}
-	per := observeTime.Seconds() * float64(n)
-	m.control = float64(c.ControlBytes()-sent) / per
-	m.cpu = float64((processorTime() - cpu).Nanoseconds()) / per
+	hostSeconds := observeTime.Seconds() * float64(n)
+	m.controlBytesPerS = float64(c.ControlBytes()-sentBefore) / hostSeconds
+	m.cpuNsPerS = float64((processCPUTime() - cpuBefore).Nanoseconds()) / hostSeconds
 	runtime.GC()
 	var after runtime.MemStats
 	runtime.ReadMemStats(&after)
-	m.heap = (float64(after.HeapAlloc) - float64(before.HeapAlloc)) / float64(n)
+	m.heapBytes = (float64(after.HeapAlloc) - float64(before.HeapAlloc)) / float64(n)
 	return m, nil
 }
 
@@ -108,8 +108,8 @@
 	}
 }
 
-// processorTime returns the processor time that this process has used.
-func processorTime() time.Duration {
+// processCPUTime returns the CPU time that this process has used.
+func processCPUTime() time.Duration {
 	var ru syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &ru); err != nil {
 		return 0
--- a/internal/tool/gauge/gauge_test.go
+++ b/internal/tool/gauge/gauge_test.go
@@ -16,7 +16,7 @@
 	endMark    = "<!-- end -->"
 )
 
-// TestPage checks that the tables of the page follow from the measured slopes.
+// TestPage checks that the tables in docs/CAPACITY.md match docs/capacity.json.
 func TestPage(t *testing.T) {
 	data, err := os.ReadFile(slopesPath)
 	assert.NilError(t, err)
@@ -33,8 +33,8 @@
 	assert.Equal(t, got, want.String())
 }
 
-// TestFit checks a line through points that lie on one, and its spread for
-// points that do not.
+// TestFit checks the line and spread for collinear points, the spread for other
+// points, and that negative values are cut to 0.
 func TestFit(t *testing.T) {
 	s := Fit("x", "n", "y", []Point{{1, 5}, {2, 7}, {4, 11}})
 	assert.Equal(t, s.At(10), 23.0)
@@ -47,8 +47,8 @@
 	assert.Equal(t, Slope{Base: -5, PerX: 1}.At(2), 0.0)
 }
 
-// TestLinesNeedSlopes checks that a missing slope is noticed.
+// TestLinesNeedSlopes checks that Estimates panics if a slope is missing.
 func TestLinesNeedSlopes(t *testing.T) {
 	defer func() { assert.Assert(t, recover() != nil) }()
-	Lines(nil)
+	Estimates(nil)
 }
--- a/internal/tool/gauge/pure.go
+++ b/internal/tool/gauge/pure.go
@@ -17,14 +17,14 @@
 	"lagooncourse/internal/plat/worker"
 )
 
-// This file measures the parts whose cost can be seen without a daemon.
+// This file measures the parts that can run without a daemon.
 
-// minTimed is how long a timed loop runs at the least.
+// minTimed is the minimum run time of a timed loop.
 const minTimed = 100 * time.Millisecond
 
-// timed returns the time of one call of fn in nanoseconds, as the mean over at
+// timePerCall returns the mean time of one call of fn in nanoseconds, over at
 // least minTimed.
-func timed(fn func(i int)) float64 {
+func timePerCall(fn func(i int)) float64 {
 	n := 0
 	start := time.Now()
 	for time.Since(start) < minTimed {
@@ -36,8 +36,8 @@
 	return float64(time.Since(start).Nanoseconds()) / float64(n)
 }
 
-// heap returns the bytes that build's result keeps alive.
-func heap(build func() any) float64 {
+// retainedBytes returns the heap bytes that the result of build keeps alive.
+func retainedBytes(build func() any) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
@@ -56,7 +56,7 @@
 	return data
 }
 
-// points measures y at each size.
+// points calls y for each size.
 func points(sizes []int, y func(n int) float64) []Point {
 	list := make([]Point, len(sizes))
 	for i, n := range sizes {
@@ -72,8 +72,8 @@
 	}
 }
 
-// filled returns a group with n waiting jobs.
-func filled(n int) *group.State {
+// groupWithJobs returns a group with n waiting jobs.
+func groupWithJobs(n int) *group.State {
 	s := group.NewState("az1-0")
 	s.ApplyBatch(group.Batch{Epoch: 1, Claim: &group.Holder{Host: "e1"}})
 	for i := range n {
@@ -82,7 +82,7 @@
 	return s
 }
 
-// startAndEnd returns the records of one task start: its intent and its end.
+// startAndEnd returns the records of one task: its start intent and its end.
 func startAndEnd(i int) []group.Record {
 	ref := jobs.Ref{Job: jobs.NewID("az1-0", int64(i+1))}
 	return []group.Record{
@@ -91,7 +91,7 @@
 	}
 }
 
-// recordBytes measures what a batch with n starts and ends adds to the log.
+// recordBytes measures the log bytes of a batch with n starts and ends.
 func recordBytes() Slope {
 	return Fit("log bytes of a batch", "starts in the batch", "bytes", points([]int{1, 10, 100, 1000}, func(n int) float64 {
 		b := group.Batch{Epoch: 12, Seq: 100_000}
@@ -100,7 +100,7 @@
 		}
 		data, err := stream.EncodeRecord(mustEncode(b))
 		if err != nil {
-			panic(err) // the entry is a plain struct
+			panic(err) // the batch is a plain struct
 		}
 		return float64(len(data))
 	}))
@@ -108,37 +108,37 @@
 
 func jobMemory() Slope {
 	return Fit("memory of jobs", "jobs of a group", "bytes", points([]int{1000, 5000, 20_000}, func(n int) float64 {
-		return heap(func() any { return filled(n) })
+		return retainedBytes(func() any { return groupWithJobs(n) })
 	}))
 }
 
 func snapshotBytes() Slope {
 	return Fit("snapshot of a group", "jobs of a group", "bytes", points([]int{1000, 5000, 20_000}, func(n int) float64 {
-		data, err := filled(n).Snapshot()
+		data, err := groupWithJobs(n).Snapshot()
 		if err != nil {
-			panic(err) // the image is a plain struct
+			panic(err) // the snapshot is a plain struct
 		}
 		return float64(len(data))
 	}))
 }
 
-// applyTime measures the decoding and applying of n starts and ends.
+// applyTime measures decoding and applying a batch of n starts and ends.
 func applyTime() Slope {
 	return Fit("apply a batch", "starts in the batch", "ns", points([]int{1, 10, 100}, func(n int) float64 {
-		s := filled(n)
+		s := groupWithJobs(n)
 		b := group.Batch{Epoch: 1}
 		for i := range n {
 			b.Records = append(b.Records, startAndEnd(i)...)
 		}
-		return timed(func(int) {
+		return timePerCall(func(int) {
 			b.Seq = s.Seq + 1
 			s.Apply(0, mustEncode(b))
 		})
 	}))
 }
 
-// decideTime measures the choice of the next item among the shapes that wait.
-func decideTime() Slope {
+// chooseTime measures choosing the next item for a given number of waiting shapes.
+func chooseTime() Slope {
 	return Fit("choose the next item", "shapes that wait", "ns", points([]int{10, 100, 500}, func(shapes int) float64 {
 		q := queue.New(queue.Config{})
 		for i := range shapes * 20 {
@@ -148,11 +148,12 @@
 			})
 		}
 		p := q.Pass(queue.View{Fleet: jobs.Size{CPU: 1000}, Used: map[string]jobs.Size{}, Share: map[string]int64{}})
-		return timed(func(int) { p.Next() })
+		return timePerCall(func(int) { p.Next() })
 	}))
 }
 
-// reserveTime measures a reservation among the workers of a group.
+// reserveTime measures one reservation and its cancellation in a group of n
+// workers.
 func reserveTime() Slope {
 	return Fit("reserve room", "workers of a group", "ns", points([]int{20, 80, 320}, func(n int) float64 {
 		b := books.New()
@@ -164,7 +165,7 @@
 		for _, w := range list {
 			b.Inventory(w.ID, books.Inventory{})
 		}
-		return timed(func(i int) {
+		return timePerCall(func(i int) {
 			at := books.Attempt{Task: fmt.Sprint(i), Number: 1}
 			b.Reserve(books.Ask{Attempt: at, Kind: jobs.Batch, Size: jobs.Size{CPU: 2000, Mem: 4096}}, 0)
 			b.Cancel(at)
@@ -172,7 +173,7 @@
 	}))
 }
 
-// renewalBytes measures both directions of one renewal of a worker.
+// renewalBytes measures one lease renewal of a worker, request and response.
 func renewalBytes() Slope {
 	return Fit("renewal of a worker", "tasks on the worker", "bytes", points([]int{0, 6, 20}, func(n int) float64 {
 		req, err := json.Marshal(worker.RenewRequest{Token: worker.Token{Epoch: 12, Seq: 100_000}, TTLMs: 8000, Since: 1000, WaitMs: 2000})
@@ -198,9 +199,9 @@
 	return inv
 }
 
-// quietRenewalBytes returns both directions of a renewal of a worker that has
-// nothing new.
-func quietRenewalBytes() float64 {
+// unchangedRenewalBytes returns the size of a lease renewal of a worker whose
+// inventory has not changed, request and response.
+func unchangedRenewalBytes() float64 {
 	req, err := json.Marshal(worker.RenewRequest{Token: worker.Token{Epoch: 12, Seq: 100_000}, TTLMs: 8000, Since: 1000, WaitMs: 2000})
 	if err != nil {
 		panic(err) // plain structs
@@ -212,7 +213,7 @@
 	return float64(len(req) + len(data))
 }
 
-// renewalTime measures the decoding of an inventory and its entry in the books.
+// renewalTime measures decoding an inventory and applying it to the reservations.
 func renewalTime() Slope {
 	return Fit("take an inventory", "tasks on the worker", "ns", points([]int{0, 6, 20}, func(n int) float64 {
 		data, err := json.Marshal(inventory(n))
@@ -221,7 +222,7 @@
 		}
 		b := books.New()
 		b.SetWorkers([]books.Worker{{ID: "w", Cap: jobs.Size{CPU: 64_000, Mem: 131_072}}})
-		return timed(func(int) {
+		return timePerCall(func(int) {
 			var inv worker.Inventory
 			if err := json.Unmarshal(data, &inv); err != nil {
 				panic(err) // encoded above
@@ -238,7 +239,8 @@
 	}))
 }
 
-// descriptionBytes measures the description of a host with one group.
+// descriptionBytes measures the membership description of an entry host that owns
+// one group.
 func descriptionBytes() Slope {
 	return Fit("description of an entry host", "teams with work in its group", "bytes", points([]int{6, 30, 94}, func(n int) float64 {
 		d := wire.Duty{Group: "az1-0", Epoch: 12, Az: "az1", Used: map[string]jobs.Size{}, Waiting: map[string]jobs.Size{}}
@@ -253,34 +255,34 @@
 	}))
 }
 
-// edit returns the record that gives the ith key.
-func edit(i int) config.Record {
+// keyEdit returns the configuration record that creates the ith key.
+func keyEdit(i int) config.Record {
 	return config.Record{Edit: &config.Edit{
 		ID: fmt.Sprintf("edit-%d", i), Kind: config.GiveKey, Name: fmt.Sprintf("key%d", i), By: "operator",
 		Team: fmt.Sprintf("team%d", i%94), Secret: config.HashSecret("s"),
 	}}
 }
 
-func configured(n int) *config.Machine {
+func configWithEdits(n int) *config.Machine {
 	m := config.NewMachine()
 	for i := range n {
-		m.Apply(int64(i), mustEncode(edit(i)))
+		m.Apply(int64(i), mustEncode(keyEdit(i)))
 	}
 	return m
 }
 
 func configMemory() Slope {
 	return Fit("memory of the configuration", "edits in it", "bytes", points([]int{200, 1000, 4000}, func(n int) float64 {
-		return heap(func() any { return configured(n) })
+		return retainedBytes(func() any { return configWithEdits(n) })
 	}))
 }
 
 func configTime() Slope {
 	return Fit("apply an edit", "edits before it", "ns", points([]int{200, 1000, 4000}, func(n int) float64 {
-		m := configured(n)
+		m := configWithEdits(n)
 		data := make([][]byte, 256)
 		for i := range data {
-			data[i] = mustEncode(edit(n + i))
+			data[i] = mustEncode(keyEdit(n + i))
 		}
 		start := time.Now()
 		for i, d := range data {
--- a/internal/tool/gauge/slope.go
+++ b/internal/tool/gauge/slope.go
@@ -1,9 +1,9 @@
-// Package gauge measures what each role costs at several sizes, fits a line
-// through the points, and works out the cost at the size that the users plan
-// for in two years.
+// Package gauge is a capacity model. It measures the cost of each role at several
+// sizes, fits a line through the points, and extrapolates to the size that the
+// users plan for in two years.
 //
-// The page docs/CAPACITY.md is made from docs/capacity.json, the output of one
-// run, by the arithmetic in this package; a test checks that it still follows.
+// The tables of docs/CAPACITY.md are generated from docs/capacity.json, the output
+// of one run. A test checks that they match.
 //
 // # Usage
 //
@@ -18,13 +18,13 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Point is one measurement.
+// Point is the cost Y measured at size X.
 type Point struct {
 	X float64 `json:"x"`
 	Y float64 `json:"y"`
 }
 
-// Slope is a line fitted through measured points: y = Base + PerX * x.
+// Slope is a line fitted through measured points: y = Base + PerX*x.
 type Slope struct {
 	Name   string  `json:"name"`
 	X      string  `json:"xUnit"`
@@ -32,14 +32,14 @@
 	Points []Point `json:"points"`
 	Base   float64 `json:"base"`
 	PerX   float64 `json:"perX"`
-	Spread float64 `json:"spread"` // standard deviation of the points from the line, as a share of their mean
+	Spread float64 `json:"spread"` // root mean square deviation of the points from the line, relative to their mean
 }
 
-// minPoints is how many sizes a slope needs at the least.
+// minPoints is the minimum number of points of a slope.
 const minPoints = 3
 
-// Fit returns the slope through the points. It panics with fewer than three,
-// because two points fit every line.
+// Fit returns the least-squares line through the points. It panics with fewer
+// than three points, because two always lie on a line and hide the error.
 func Fit(name, x, y string, points []Point) Slope {
 	if len(points) < minPoints {
 		panic(fmt.Sprintf("gauge: slope %q has %d points", name, len(points)))
@@ -61,10 +61,10 @@
 	return s
 }
 
-// At returns the value of the line at x, and 0 where the line is below it.
+// At returns the value of the line at x, or 0 if it is negative.
 func (s Slope) At(x float64) float64 { return max(s.Base+s.PerX*x, 0) }
 
-// Range returns the smallest and largest measured size.
+// Range returns the smallest and largest measured sizes.
 func (s Slope) Range() (low, high float64) {
 	low, high = math.Inf(1), math.Inf(-1)
 	for _, p := range s.Points {
