--- a/cmd/lagooncourse/cluster_test.go
+++ b/cmd/lagooncourse/cluster_test.go
@@ -228,7 +228,7 @@
 	for _, h := range c.hosts {
 		api = append(api, "http://"+h.api)
 	}
-	return caller.New(caller.Config{API: api, Key: key, Tries: 200})
+	return caller.New(caller.Config{API: api, Key: key, MaxAttempts: 200})
 }
 
 // team creates a plan with a key for everything and returns the key.
--- a/internal/tool/caller/caller.go
+++ b/internal/tool/caller/caller.go
@@ -1,5 +1,5 @@
-// Package caller is the client of an entry host's HTTP API, as the command
-// line and the demonstration use it.
+// Package caller is the client of the entry hosts' HTTP API. The command line and
+// the demonstration use it.
 //
 // # Usage
 //
@@ -29,9 +29,9 @@
 
 // Config describes a Client.
 type Config struct {
-	API   []string // base URLs of entry hosts, used in turn as a balancer would
-	Key   string   // "id.secret"; empty for none
-	Tries int      // for requests that are safe to repeat; 0 means 1
+	API         []string // base URLs of entry hosts, used round-robin
+	Key         string   // "id.secret"; empty for none
+	MaxAttempts int      // maximum attempts for idempotent requests; 0 means 1
 }
 
 // Client sends requests to entry hosts. It is safe for concurrent use.
@@ -42,14 +42,14 @@
 
 // New returns a client.
 func New(cfg Config) *Client {
-	cfg.Tries = max(cfg.Tries, 1)
+	cfg.MaxAttempts = max(cfg.MaxAttempts, 1)
 	return &Client{cfg: cfg}
 }
 
-// base returns the entry host for the next request.
-func (c *Client) base() string { return c.cfg.API[c.next.Add(1)%uint64(len(c.cfg.API))] }
+// nextBaseURL returns the base URL of the entry host for the next request.
+func (c *Client) nextBaseURL() string { return c.cfg.API[c.next.Add(1)%uint64(len(c.cfg.API))] }
 
-func (c *Client) header() http.Header {
+func (c *Client) authHeader() http.Header {
 	h := http.Header{}
 	if c.cfg.Key != "" {
 		h.Set("Authorization", "Bearer "+c.cfg.Key)
@@ -57,24 +57,24 @@
 	return h
 }
 
-const retryWait = 100 * time.Millisecond
+const retryDelay = 100 * time.Millisecond
 
-// exchange sends a request that is safe to repeat, up to cfg.Tries times. A
-// refusal that another try would meet too is returned at once.
+// exchange sends an idempotent request, with up to cfg.MaxAttempts attempts. It
+// returns permanent errors immediately.
 func exchange[Resp any](ctx context.Context, c *Client, method, path string, req any) (resp Resp, err error) {
 	for try := 1; ; try++ {
-		resp, err = httpd.ExchangeHeader[Resp](ctx, method, c.base()+path, c.header(), req)
-		if err == nil || try >= c.cfg.Tries || ctx.Err() != nil || !temporary(err) {
+		resp, err = httpd.ExchangeHeader[Resp](ctx, method, c.nextBaseURL()+path, c.authHeader(), req)
+		if err == nil || try >= c.cfg.MaxAttempts || ctx.Err() != nil || !isRetryable(err) {
 			return resp, err
 		}
 		select {
-		case <-time.After(retryWait):
+		case <-time.After(retryDelay):
 		case <-ctx.Done():
 		}
 	}
 }
 
-func temporary(err error) bool {
+func isRetryable(err error) bool {
 	switch fault.From(err).Code {
 	case fault.Overload, fault.Unavailable, fault.NotOwner, fault.Timeout, fault.Internal:
 		return true
@@ -82,8 +82,8 @@
 	return false
 }
 
-// Submit sends a job. A submission id is added if there is none, so that a
-// repetition cannot become a second job.
+// Submit sends a job. If the spec has no submission ID, Submit adds one so that a
+// retry cannot create a second job.
 func (c *Client) Submit(ctx context.Context, spec jobs.Spec) (jobs.Job, error) {
 	if spec.Submission == "" {
 		spec = spec.WithSubmission(rand.Text())
@@ -91,20 +91,20 @@
 	return exchange[jobs.Job](ctx, c, http.MethodPost, "/jobs", spec)
 }
 
-// Status returns a job.
+// Status returns the current state of a job.
 func (c *Client) Status(ctx context.Context, id jobs.ID) (entry.JobAnswer, error) {
 	return exchange[entry.JobAnswer](ctx, c, http.MethodGet, "/jobs/"+url.PathEscape(string(id)), nil)
 }
 
-// waitStep is how long one request waits for a job's end.
-const waitStep = 5 * time.Second
+// maxLongPoll is the longest time that one request waits for a job to end.
+const maxLongPoll = 5 * time.Second
 
-// Wait returns a job once it has ended, or as it is after d.
+// Wait waits up to d for a job to end and returns its state.
 func (c *Client) Wait(ctx context.Context, id jobs.ID, d time.Duration) (a entry.JobAnswer, err error) {
 	deadline := time.Now().Add(d)
 	for {
 		left := max(time.Until(deadline), 0)
-		path := fmt.Sprintf("/jobs/%s?waitMs=%d", url.PathEscape(string(id)), min(left, waitStep).Milliseconds())
+		path := fmt.Sprintf("/jobs/%s?waitMs=%d", url.PathEscape(string(id)), min(left, maxLongPoll).Milliseconds())
 		a, err = exchange[entry.JobAnswer](ctx, c, http.MethodGet, path, nil)
 		if err != nil || a.Ended() || left == 0 {
 			return a, err
@@ -112,17 +112,17 @@
 	}
 }
 
-// Cancel asks for the end of a job.
+// Cancel requests the cancellation of a job.
 func (c *Client) Cancel(ctx context.Context, id jobs.ID) (entry.JobAnswer, error) {
 	return exchange[entry.JobAnswer](ctx, c, http.MethodPost, "/jobs/"+url.PathEscape(string(id))+"/cancel", nil)
 }
 
-// List lists jobs in a state, or in any state for "".
+// List returns the jobs in a state. An empty state means all jobs.
 func (c *Client) List(ctx context.Context, state jobs.State) (entry.JobList, error) {
 	return exchange[entry.JobList](ctx, c, http.MethodGet, "/jobs?state="+url.QueryEscape(string(state)), nil)
 }
 
-// Settle decides about a parked task.
+// Settle resolves a parked task, whose outcome is unknown.
 func (c *Client) Settle(ctx context.Context, task string, action jobs.Action) (entry.JobAnswer, error) {
 	req := entry.SettleRequest{Task: task, Action: action}
 	return exchange[entry.JobAnswer](ctx, c, http.MethodPost, "/settle", req)
@@ -133,7 +133,8 @@
 	return exchange[entry.ConfigAnswer](ctx, c, http.MethodGet, "/config", nil)
 }
 
-// Edit applies an operator's edit.
+// Edit applies an operator's configuration edit. If the edit has no ID, Edit adds
+// one so that a retry is not applied twice.
 func (c *Client) Edit(ctx context.Context, e config.Edit) (config.Result, error) {
 	if e.ID == "" {
 		e.ID = rand.Text()
@@ -146,29 +147,29 @@
 	return exchange[entry.Dump](ctx, c, http.MethodGet, "/dump", nil)
 }
 
-// Call is a call to a service.
+// Call describes a call to a service.
 type Call struct {
 	Service    string
-	ID         string // repeats with the same id run at most once, unless Idempotent
+	ID         string // calls with the same ID run at most once, unless Idempotent
 	Idempotent bool
 	Timeout    time.Duration
 	Body       []byte
 }
 
-// Answer is the whole answer to a call.
+// Answer is a complete response to a call.
 type Answer struct {
 	Status int
 	Body   []byte
 }
 
-// Call sends a call once. The error is a *fault.Error whose outcome says
-// whether the call may have run.
+// Call sends a call without retries. The error is a *fault.Error; its outcome
+// tells whether the call may have run.
 func (c *Client) Call(ctx context.Context, call Call) (a Answer, err error) {
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, c.base()+"/call/"+url.PathEscape(call.Service), bytes.NewReader(call.Body))
+	r, err := http.NewRequestWithContext(ctx, http.MethodPost, c.nextBaseURL()+"/call/"+url.PathEscape(call.Service), bytes.NewReader(call.Body))
 	if err != nil {
 		return a, fault.New(fault.Internal, fault.NotRun, "%v", err)
 	}
-	r.Header = c.header()
+	r.Header = c.authHeader()
 	r.Header.Set(entry.HeaderCallID, call.ID)
 	r.Header.Set(entry.HeaderIdempotent, strconv.FormatBool(call.Idempotent))
 	if call.Timeout > 0 {
@@ -181,7 +182,7 @@
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return a, fault.New(fault.BadAnswer, fault.Unknown, "answer ends early: %v", err)
+		return a, fault.New(fault.BadAnswer, fault.Unknown, "response body is incomplete: %v", err)
 	}
 	if resp.Header.Get(entry.HeaderRan) != string(fault.Done) {
 		return a, httpd.DecodeProblem(resp.StatusCode, body)
--- a/internal/tool/cmds/root.go
+++ b/internal/tool/cmds/root.go
@@ -106,7 +106,7 @@
 const clientTries = 20
 
 func (f *flags) client() *caller.Client {
-	return caller.New(caller.Config{API: f.api, Key: f.key, Tries: clientTries})
+	return caller.New(caller.Config{API: f.api, Key: f.key, MaxAttempts: clientTries})
 }
 
 // printJSON writes v as indented JSON.
--- a/internal/tool/demo/cell.go
+++ b/internal/tool/demo/cell.go
@@ -282,7 +282,7 @@
 
 // setUp makes the plans, lists and keys of all teams.
 func (c *cell) setUp(ctx context.Context) error {
-	op := caller.New(caller.Config{API: []string{c.slots[0].api()}, Tries: 100})
+	op := caller.New(caller.Config{API: []string{c.slots[0].api()}, MaxAttempts: 100})
 	for _, t := range c.scene.Teams {
 		limit := jobs.Size{CPU: int64(t.CPU * 1000), Mem: jobs.Unlimited, Accel: jobs.Unlimited}
 		for _, e := range []config.Edit{
--- a/internal/tool/demo/load.go
+++ b/internal/tool/demo/load.go
@@ -193,7 +193,7 @@
 	l.wg.Add(1)
 	go func() {
 		defer l.wg.Done()
-		_, _ = caller.New(caller.Config{API: []string{l.c.slots[l.pick()].api()}, Tries: 20}).Cancel(ctx, id)
+		_, _ = caller.New(caller.Config{API: []string{l.c.slots[l.pick()].api()}, MaxAttempts: 20}).Cancel(ctx, id)
 	}()
 }
 
--- a/internal/tool/demo/run.go
+++ b/internal/tool/demo/run.go
@@ -244,7 +244,7 @@
 // edit makes an operator's edit through any ready host and notes when it was
 // accepted.
 func (r *run) edit(ctx context.Context, e config.Edit) (acceptedMs int64, ok bool) {
-	op := caller.New(caller.Config{API: []string{r.c.slots[r.load.pick()].api()}, Tries: 50})
+	op := caller.New(caller.Config{API: []string{r.c.slots[r.load.pick()].api()}, MaxAttempts: 50})
 	conf, err := op.Config(ctx)
 	if err != nil {
 		return 0, false
