--- a/internal/tool/cmds/daemon.go
+++ b/internal/tool/cmds/daemon.go
@@ -18,20 +18,21 @@
 	"lagooncourse/internal/plat/fakes"
 )
 
-// forceQuit is when the base library ends a process that has not ended by
-// itself after a signal. Our own bound is always shorter.
-const forceQuit = 15 * time.Minute
-
-// waitForSignal returns a context that ends at SIGTERM or SIGINT.
-func waitForSignal() (context.Context, context.CancelFunc) {
-	proc.SetTimeToForceQuit(forceQuit)
+// forceQuitTimeout is the time after a signal at which go-zero kills the process.
+// It exceeds the time limit of a graceful stop, so that go-zero does not cut one
+// off.
+const forceQuitTimeout = 15 * time.Minute
+
+// signalContext returns a context that is canceled on SIGTERM or SIGINT.
+func signalContext() (context.Context, context.CancelFunc) {
+	proc.SetTimeToForceQuit(forceQuitTimeout)
 	return signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 }
 
 func newEntry() *cobra.Command {
 	var path string
 	cmd := &cobra.Command{
-		Use: "entry --config FILE.ini", Short: "Run the daemon of an entry host", Args: exactly(0),
+		Use: "entry --config FILE.ini", Short: "Run the daemon of an entry host", Args: exactArgs(0),
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			set, err := conf.Load[entry.Settings](path)
 			if err != nil {
@@ -45,7 +46,7 @@
 }
 
 func runEntry(set entry.Settings, w io.Writer) error {
-	ctx, cancel := waitForSignal()
+	ctx, cancel := signalContext()
 	defer cancel()
 	h, err := entry.Start(entry.Config{Settings: set, Logger: logs.New(w, set.Logs.Level)})
 	if err != nil {
@@ -65,7 +66,7 @@
 			if document {
 				return nil
 			}
-			return exactly(1)(cmd, args)
+			return exactArgs(1)(cmd, args)
 		},
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if document {
@@ -89,7 +90,7 @@
 	return cmd
 }
 
-// logSettings is the settings file of the log stand-in.
+// logSettings is the settings file of the stand-in for the log service.
 type logSettings struct {
 	Log struct {
 		Listen    string        `ini:"listen" required:"true" doc:"IP:port"`
@@ -98,7 +99,7 @@
 	} `ini:"log"`
 }
 
-// fleetSettings is the settings file of the worker stand-in.
+// fleetSettings is the settings file of the stand-in for the workers.
 type fleetSettings struct {
 	Workers struct {
 		Listen     string   `ini:"listen" required:"true" doc:"IP:port"`
@@ -112,7 +113,7 @@
 	} `ini:"workers"`
 }
 
-// execSettings is the settings file of the executor stand-in.
+// execSettings is the settings file of the stand-in for the executors.
 type execSettings struct {
 	Executors struct {
 		Listen  string        `ini:"listen" required:"true" doc:"IP:port of the host list"`
@@ -129,9 +130,9 @@
 	var path string
 	cmd := &cobra.Command{
 		Use: "standin log|worker|executor --config FILE.ini", Short: "Run a stand-in for a part of the platform",
-		Args: exactly(1),
+		Args: exactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			ctx, cancel := waitForSignal()
+			ctx, cancel := signalContext()
 			defer cancel()
 			url, stop, err := startStandin(args[0], path)
 			if err != nil {
--- a/internal/tool/cmds/demo.go
+++ b/internal/tool/cmds/demo.go
@@ -13,17 +13,17 @@
 	"lagooncourse/internal/tool/scene"
 )
 
-// errBroken ends a run in which a promise was broken.
-var errBroken = errors.New("a promise was broken")
+// errViolated is returned if the demonstration finds a violated guarantee.
+var errViolated = errors.New("a guarantee was violated")
 
-// defaultScenes are the deployments of today's two users.
-var defaultScenes = []string{"hanbit", "freshwater"}
+// defaultScenarios model the deployments of the two current users.
+var defaultScenarios = []string{"hanbit", "freshwater"}
 
 func newDemo(f *flags) *cobra.Command {
-	var scenes []string
+	var scenarios []string
 	var logPath, policyName string
 	cmd := &cobra.Command{
-		Use: "demo", Short: "Run scenarios in one process and judge the promises", Args: exactly(0),
+		Use: "demo", Short: "Run scenarios in one process and judge the promises", Args: exactArgs(0),
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			policy, ok := queue.Policies[policyName]
 			if !ok {
@@ -39,7 +39,7 @@
 				log = logs.New(file, "debug")
 			}
 			var reports []*demo.Report
-			for _, name := range scenes {
+			for _, name := range scenarios {
 				s, err := scene.Load(name)
 				if err != nil {
 					return err
@@ -53,7 +53,7 @@
 			return showReports(cmd, f, reports)
 		},
 	}
-	cmd.Flags().StringSliceVar(&scenes, "scenario", defaultScenes, fmt.Sprintf("scenario files, or the shipped %v", scene.Shipped()))
+	cmd.Flags().StringSliceVar(&scenarios, "scenario", defaultScenarios, fmt.Sprintf("scenario files, or the shipped %v", scene.Shipped()))
 	cmd.Flags().StringVar(&policyName, "policy", "fair", "policy of the queues: fair, or fifo as a baseline")
 	cmd.Flags().StringVar(&logPath, "log", "", "write the entry hosts' log to this file")
 	return cmd
@@ -73,7 +73,7 @@
 		}
 	}
 	if broken {
-		return errBroken
+		return errViolated
 	}
 	return nil
 }
--- a/internal/tool/cmds/measure.go
+++ b/internal/tool/cmds/measure.go
@@ -13,9 +13,9 @@
 	var from string
 	capacity := &cobra.Command{
 		Use: "capacity", Short: "Measure what each role costs and work out the cost at the users' planned size",
-		Args: exactly(0),
+		Args: exactArgs(0),
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			slopes, err := slopesFrom(cmd, from)
+			slopes, err := loadOrMeasure(cmd, from)
 			if err != nil {
 				return err
 			}
@@ -31,8 +31,9 @@
 	return cmd
 }
 
-// slopesFrom reads the slopes of an earlier run, or takes them anew.
-func slopesFrom(cmd *cobra.Command, path string) ([]gauge.Slope, error) {
+// loadOrMeasure reads the slopes of an earlier run from path, or measures them if
+// path is empty.
+func loadOrMeasure(cmd *cobra.Command, path string) ([]gauge.Slope, error) {
 	if path == "" {
 		return gauge.Measure(contextOf(cmd), gauge.Config{Progress: cmd.ErrOrStderr()})
 	}
--- a/internal/tool/cmds/operate.go
+++ b/internal/tool/cmds/operate.go
@@ -16,23 +16,24 @@
 	"lagooncourse/internal/node/entry"
 )
 
-// edit are the flags of commands that change the configuration.
-type edit struct {
+// editFlags holds the flags of commands that change the configuration.
+type editFlags struct {
 	f    *flags
 	base int64
 	id   string
 	by   string
 }
 
-func (e *edit) add(cmd *cobra.Command) *cobra.Command {
+func (e *editFlags) addTo(cmd *cobra.Command) *cobra.Command {
 	cmd.Flags().Int64Var(&e.base, "base", -1, "version that the edit is based on; the present one by default")
 	cmd.Flags().StringVar(&e.id, "edit", "", "id of the edit, to repeat one without harm")
 	cmd.Flags().StringVar(&e.by, "by", "operator", "who makes the edit")
 	return cmd
 }
 
-// apply sends the edit and prints its result.
-func (e *edit) apply(cmd *cobra.Command, ed config.Edit) error {
+// apply sends the edit and prints its result. Without --base, the edit is based on
+// the current version of its object.
+func (e *editFlags) apply(cmd *cobra.Command, ed config.Edit) error {
 	ctx := cmd.Context()
 	c := e.f.client()
 	ed.ID, ed.By, ed.Base = e.id, e.by, config.Version(e.base)
@@ -41,7 +42,7 @@
 		if err != nil {
 			return err
 		}
-		ed.Base = versionIn(conf, ed.Object())
+		ed.Base = objectVersion(conf, ed.Object())
 	}
 	res, err := c.Edit(ctx, ed)
 	if err != nil {
@@ -54,15 +55,15 @@
 	return err
 }
 
-func versionIn(c entry.ConfigAnswer, object string) config.Version {
+func objectVersion(c entry.ConfigAnswer, object string) config.Version {
 	s := config.State{Plans: c.Plans, Allows: c.Allows, Keys: c.Keys, Azs: c.Azs}
 	return s.VersionOf(object)
 }
 
-// list returns a command that prints a part of the configuration.
-func list(f *flags, short string, show func(io.Writer, entry.ConfigAnswer)) *cobra.Command {
+// newConfigList returns a command that prints a part of the configuration.
+func newConfigList(f *flags, short string, show func(io.Writer, entry.ConfigAnswer)) *cobra.Command {
 	return &cobra.Command{
-		Use: "list", Short: short, Args: exactly(0),
+		Use: "list", Short: short, Args: exactArgs(0),
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			c, err := f.client().Config(cmd.Context())
 			if err != nil {
@@ -91,16 +92,16 @@
 	var share, accel int64
 	var cpu float64
 	var memory string
-	e := &edit{f: f}
-	set := func(use, short string) *cobra.Command {
-		cmd := e.add(&cobra.Command{
-			Use: use + " TEAM", Short: short, Args: exactly(1),
+	e := &editFlags{f: f}
+	newSetCommand := func(use, short string) *cobra.Command {
+		cmd := e.addTo(&cobra.Command{
+			Use: use + " TEAM", Short: short, Args: exactArgs(1),
 			RunE: func(cmd *cobra.Command, args []string) error {
 				mem, err := parseMemory(memory)
 				if err != nil {
 					return err
 				}
-				limit := jobs.Size{CPU: int64(cpu * millis), Mem: mem, Accel: accel}
+				limit := jobs.Size{CPU: int64(cpu * millicoresPerCore), Mem: mem, Accel: accel}
 				if use == "create" {
 					e.base = 0
 				}
@@ -113,14 +114,14 @@
 		cmd.Flags().Int64Var(&accel, "accelerators", 0, "upper limit in devices")
 		return cmd
 	}
-	plan.AddCommand(set("create", "Create a plan"), set("set", "Change a plan"))
-	plan.AddCommand(e.add(&cobra.Command{
-		Use: "delete TEAM", Short: "Delete a plan", Args: exactly(1),
+	plan.AddCommand(newSetCommand("create", "Create a plan"), newSetCommand("set", "Change a plan"))
+	plan.AddCommand(e.addTo(&cobra.Command{
+		Use: "delete TEAM", Short: "Delete a plan", Args: exactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return e.apply(cmd, config.Edit{Kind: config.DeletePlan, Name: args[0]})
 		},
 	}))
-	plan.AddCommand(list(f, "List the plans", func(w io.Writer, c entry.ConfigAnswer) {
+	plan.AddCommand(newConfigList(f, "List the plans", func(w io.Writer, c entry.ConfigAnswer) {
 		for _, team := range sortedKeys(c.Plans) {
 			if p := c.Plans[team]; !p.Deleted {
 				fmt.Fprintf(w, "%-20s share %-5d limit %s (version %d)\n", team, p.Share, p.Limit, p.Version)
@@ -131,12 +132,12 @@
 }
 
 const (
-	millis = 1000
-	mibKiB = 1024
+	millicoresPerCore = 1000
+	unitFactor        = 1024 // from MiB to GiB and from GiB to TiB
 )
 
-// parseMemory parses a size such as "512MiB" or "64GiB" into MiB. No size
-// means no limit.
+// parseMemory parses a size such as "512MiB" or "64GiB" and returns it in MiB. An
+// empty string means no limit.
 func parseMemory(s string) (int64, error) {
 	if s == "" {
 		return jobs.Unlimited, nil
@@ -144,7 +145,7 @@
 	units := []struct {
 		suffix string
 		mib    int64
-	}{{"MiB", 1}, {"GiB", mibKiB}, {"TiB", mibKiB * mibKiB}}
+	}{{"MiB", 1}, {"GiB", unitFactor}, {"TiB", unitFactor * unitFactor}}
 	for _, u := range units {
 		text, ok := strings.CutSuffix(s, u.suffix)
 		if !ok {
@@ -160,9 +161,9 @@
 
 func newAllow(f *flags) *cobra.Command {
 	allow := &cobra.Command{Use: "allow", Short: "The list of what a plan may use"}
-	e := &edit{f: f}
+	e := &editFlags{f: f}
 	change := func(use, short string, kind config.Kind) *cobra.Command {
-		return e.add(&cobra.Command{
+		return e.addTo(&cobra.Command{
 			Use: use + " TEAM KIND:NAME...", Short: short,
 			Args: func(cmd *cobra.Command, args []string) error {
 				if len(args) < 2 {
@@ -178,7 +179,7 @@
 	allow.AddCommand(
 		change("add", "Add items such as queue:deep, service:triage or az:west", config.AddAllow),
 		change("remove", "Remove items", config.RemoveAllow),
-		list(f, "List what each plan may use", func(w io.Writer, c entry.ConfigAnswer) {
+		newConfigList(f, "List what each plan may use", func(w io.Writer, c entry.ConfigAnswer) {
 			for _, team := range sortedKeys(c.Allows) {
 				fmt.Fprintf(w, "%-20s %s (version %d)\n", team, strings.Join(c.Allows[team].Items, " "), c.Allows[team].Version)
 			}
@@ -189,9 +190,9 @@
 
 func newKey(f *flags) *cobra.Command {
 	key := &cobra.Command{Use: "key", Short: "Keys of teams"}
-	e := &edit{f: f}
-	key.AddCommand(e.add(&cobra.Command{
-		Use: "give TEAM", Short: "Give a team a new key; it is shown once", Args: exactly(1),
+	e := &editFlags{f: f}
+	key.AddCommand(e.addTo(&cobra.Command{
+		Use: "give TEAM", Short: "Give a team a new key; it is shown once", Args: exactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			id, secret := strings.ToLower(rand.Text()[:10]), rand.Text()
 			e.base = 0
@@ -203,13 +204,13 @@
 			return err
 		},
 	}))
-	key.AddCommand(e.add(&cobra.Command{
-		Use: "withdraw ID", Short: "Withdraw a key", Args: exactly(1),
+	key.AddCommand(e.addTo(&cobra.Command{
+		Use: "withdraw ID", Short: "Withdraw a key", Args: exactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return e.apply(cmd, config.Edit{Kind: config.WithdrawKey, Name: args[0]})
 		},
 	}))
-	key.AddCommand(list(f, "List the keys, without their secrets", func(w io.Writer, c entry.ConfigAnswer) {
+	key.AddCommand(newConfigList(f, "List the keys, without their secrets", func(w io.Writer, c entry.ConfigAnswer) {
 		for _, id := range sortedKeys(c.Keys) {
 			k := c.Keys[id]
 			state := "given"
@@ -224,10 +225,10 @@
 
 func newAz(f *flags) *cobra.Command {
 	az := &cobra.Command{Use: "az", Short: "Availability zones"}
-	e := &edit{f: f}
+	e := &editFlags{f: f}
 	change := func(use, short string, kind config.Kind) *cobra.Command {
-		return e.add(&cobra.Command{
-			Use: use + " AZ", Short: short, Args: exactly(1),
+		return e.addTo(&cobra.Command{
+			Use: use + " AZ", Short: short, Args: exactArgs(1),
 			RunE: func(cmd *cobra.Command, args []string) error {
 				return e.apply(cmd, config.Edit{Kind: kind, Name: args[0]})
 			},
@@ -236,7 +237,7 @@
 	az.AddCommand(
 		change("out", "Take an availability zone out of service", config.AzOut),
 		change("back", "Bring an availability zone back", config.AzBack),
-		list(f, "List the availability zones that were ever taken out", func(w io.Writer, c entry.ConfigAnswer) {
+		newConfigList(f, "List the availability zones that were ever taken out", func(w io.Writer, c entry.ConfigAnswer) {
 			for _, name := range sortedKeys(c.Azs) {
 				state := "in service"
 				if c.Azs[name].Out {
@@ -252,7 +253,7 @@
 func newTask(f *flags) *cobra.Command {
 	task := &cobra.Command{Use: "task", Short: "Tasks whose outcome is unknown"}
 	task.AddCommand(&cobra.Command{
-		Use: "settle JOB/INDEX done|failed|rerun", Short: "Decide what became of a parked task", Args: exactly(2),
+		Use: "settle JOB/INDEX done|failed|rerun", Short: "Decide what became of a parked task", Args: exactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			action := jobs.Action(args[1])
 			if !slices.Contains(jobs.Actions, action) {
@@ -270,7 +271,7 @@
 
 func newDump(f *flags) *cobra.Command {
 	return &cobra.Command{
-		Use: "dump", Short: "Print the state of an entry host as JSON", Args: exactly(0),
+		Use: "dump", Short: "Print the state of an entry host as JSON", Args: exactArgs(0),
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			d, err := f.client().Dump(contextOf(cmd))
 			if err != nil {
--- a/internal/tool/cmds/platform.go
+++ b/internal/tool/cmds/platform.go
@@ -16,24 +16,24 @@
 	"lagooncourse/platform"
 )
 
-// Names of our own topics in the platform's store.
+// Names of the scheduler's own topics in the platform's store.
 const (
 	jobTopic  = "jobs"
 	hostTopic = "hosts"
 )
 
 const (
-	memoryShare = 0.7 // of the machine's memory, for the Go heap
-	gcPercent   = 300 // the heap of an owner is small beside the memory; collecting it less often saves processor time
-	stopMargin  = 1500 * time.Millisecond
-	logLines    = 8192 // lines that wait for a slow reader of the log
+	heapFraction     = 0.7                     // Go memory limit, as a fraction of the machine's memory
+	gcPercent        = 300                     // an owner's heap is small compared to the memory; fewer collections save CPU time
+	stopMargin       = 1500 * time.Millisecond // part of the platform's grace period that a graceful stop leaves unused
+	maxBufferedLines = 8192                    // log lines buffered for a slow reader
 )
 
 func newServe() *cobra.Command {
 	var path string
 	var metrics int
 	cmd := &cobra.Command{
-		Use: "serve [--settings FILE.toml]", Short: "Run the daemon of an entry host on the users' platform", Args: exactly(0),
+		Use: "serve [--settings FILE.toml]", Short: "Run the daemon of an entry host on the users' platform", Args: exactArgs(0),
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			set, err := platform.LoadSettings(path)
 			if err != nil {
@@ -50,15 +50,15 @@
 	return cmd
 }
 
-// runServe runs the daemon until it is asked to end.
-func runServe(path string, set platform.Settings, w io.Writer) error {
+// runServe runs the daemon until a signal stops it. SIGHUP reloads the settings.
+func runServe(settingsPath string, set platform.Settings, w io.Writer) error {
 	if set.MemoryMiB > 0 {
 		debug.SetGCPercent(gcPercent)
-		debug.SetMemoryLimit(int64(float64(set.MemoryMiB<<20) * memoryShare))
+		debug.SetMemoryLimit(int64(float64(set.MemoryMiB<<20) * heapFraction))
 	}
-	ctx, cancel := waitForSignal()
+	ctx, cancel := signalContext()
 	defer cancel()
-	out := logs.NewAsync(w, logLines)
+	out := logs.NewAsync(w, maxBufferedLines)
 	defer out.Close()
 	h, err := gate.Start(gateConfig(set, out))
 	if err != nil {
@@ -70,7 +70,7 @@
 		select {
 		case <-ctx.Done():
 		case <-reload:
-			reloadSettings(h, path, out)
+			reloadSettings(h, settingsPath, out)
 		}
 	}
 	grace := time.Duration(set.GraceS*float64(time.Second)) - stopMargin
@@ -79,18 +79,19 @@
 	return h.Stop(stop)
 }
 
-// reloadSettings reads the settings file again. A file that is not valid leaves
-// the settings in force as they are.
+// reloadSettings rereads the settings file. If the file is invalid, the current
+// settings stay in force.
 func reloadSettings(h *gate.Host, path string, out io.Writer) {
 	set, err := platform.LoadSettings(path)
 	if err != nil {
-		logs.NewJSON(out, "info").Error(err, "settings not taken up")
+		logs.NewJSON(out, "info").Error(err, "settings file is invalid; keeping the current settings")
 		return
 	}
 	h.Reload(gateConfig(set, out))
 }
 
-// gateConfig wires the adapter to the daemon.
+// gateConfig returns the daemon's configuration, with the platform package as its
+// adapter.
 func gateConfig(set platform.Settings, out io.Writer) gate.Config {
 	client := platform.NewClient(platform.ClientConfig{Store: set.StoreAddr, Advice: set.AdviceAddr, Cloud: set.CloudAddr})
 	return gate.Config{
--- a/internal/tool/cmds/root.go
+++ b/internal/tool/cmds/root.go
@@ -1,7 +1,7 @@
-// Package cmds is the command line of lagooncourse.
+// Package cmds implements the command line of lagooncourse.
 //
-// Exit status 0 means success, 1 that the request failed or a promise was
-// broken, and 2 that the command line or a settings file is invalid.
+// The exit status is 0 for success, 1 if the command failed or a guarantee was
+// violated, and 2 if the command line or a settings file is invalid.
 //
 // # Usage
 //
@@ -31,10 +31,10 @@
 	exitInvalid = 2
 )
 
-// errUsage marks errors of the command line.
+// errUsage marks an invalid command line.
 var errUsage = errors.New("invalid command line")
 
-// flags are the flags that all client commands share.
+// flags holds the flags that all client commands share.
 type flags struct {
 	api  []string
 	key  string
@@ -43,7 +43,7 @@
 
 // Main runs the command line and returns the exit status.
 func Main(args []string, stdout, stderr io.Writer) int {
-	logx.Disable() // the base library's own log carries no part prefix
+	logx.Disable() // go-zero's log lines lack the component prefix
 	root := newRoot()
 	root.SetArgs(args)
 	root.SetOut(stdout)
@@ -59,14 +59,15 @@
 	return exitFailed
 }
 
-// isInvalid reports whether the error is about the command line or a file. The
-// command library has no type for an unknown command.
+// isInvalid reports whether the error is caused by an invalid command line or
+// settings file. Cobra has no error type for an unknown command, so isInvalid
+// matches the text.
 func isInvalid(err error) bool {
 	var ce *conf.Error
 	return errors.Is(err, errUsage) || errors.As(err, &ce) || strings.HasPrefix(err.Error(), "unknown command")
 }
 
-// describe adds the outcome to an error of an entry host.
+// describe formats an error. It adds the outcome to an error of an entry host.
 func describe(err error) string {
 	var e *fault.Error
 	if errors.As(err, &e) {
@@ -101,12 +102,11 @@
 	return def
 }
 
-// clientTries is how often the command line repeats a request that is safe to
-// repeat.
-const clientTries = 20
+// clientAttempts limits the attempts of an idempotent request.
+const clientAttempts = 20
 
 func (f *flags) client() *caller.Client {
-	return caller.New(caller.Config{API: f.api, Key: f.key, MaxAttempts: clientTries})
+	return caller.New(caller.Config{API: f.api, Key: f.key, MaxAttempts: clientAttempts})
 }
 
 // printJSON writes v as indented JSON.
@@ -116,16 +116,16 @@
 	return enc.Encode(v)
 }
 
-// at formats milliseconds since 1970 for people.
-func at(ms int64) string {
+// formatTime formats milliseconds since 1970 as a local time of day, and 0 as "-".
+func formatTime(ms int64) string {
 	if ms == 0 {
 		return "-"
 	}
 	return time.UnixMilli(ms).Format("15:04:05.000")
 }
 
-// exactly returns a check that a command has n arguments.
-func exactly(n int) cobra.PositionalArgs {
+// exactArgs returns a check that a command has n arguments.
+func exactArgs(n int) cobra.PositionalArgs {
 	return func(cmd *cobra.Command, args []string) error {
 		if len(args) != n {
 			return fmt.Errorf("%w: %q takes %d arguments, not %d", errUsage, cmd.CommandPath(), n, len(args))
--- a/internal/tool/cmds/work.go
+++ b/internal/tool/cmds/work.go
@@ -15,12 +15,12 @@
 	"lagooncourse/internal/tool/caller"
 )
 
-// jobFile is the file of a job for "submit".
+// jobFile is the job file that the submit command reads.
 type jobFile struct {
 	Job JobSection `ini:"job"`
 }
 
-// JobSection describes a job in a file.
+// JobSection is the [job] section of a job file.
 type JobSection struct {
 	Name       string        `ini:"name" required:"true" doc:"family of similar jobs"`
 	Kind       string        `ini:"kind" def:"batch" oneof:"urgent,service,gang,batch" doc:"class of the job"`
@@ -37,7 +37,7 @@
 	Payload    string        `ini:"payload" doc:"handed to the worker unread"`
 }
 
-// Spec returns the job's spec.
+// Spec converts the section to a job spec and validates it.
 func (j JobSection) Spec() (jobs.Spec, error) {
 	mem, err := parseMemory(j.Memory)
 	if err != nil {
@@ -45,7 +45,7 @@
 	}
 	spec := jobs.Spec{
 		Name: j.Name, Kind: jobs.Kind(j.Kind), Queue: j.Queue, Submission: j.Submission, Tasks: j.Tasks,
-		Size:  jobs.Size{CPU: int64(j.CPU * millis), Mem: mem, Accel: j.Accel},
+		Size:  jobs.Size{CPU: int64(j.CPU * millicoresPerCore), Mem: mem, Accel: j.Accel},
 		RunMs: j.Run.Milliseconds(), Idempotent: j.Idempotent, Retries: j.Retries, Az: j.Az, Payload: j.Payload,
 	}
 	return spec, spec.Check()
@@ -54,7 +54,7 @@
 func newSubmit(f *flags) *cobra.Command {
 	var path, submission string
 	cmd := &cobra.Command{
-		Use: "submit -f JOB.ini", Short: "Submit a job", Args: exactly(0),
+		Use: "submit -f JOB.ini", Short: "Submit a job", Args: exactArgs(0),
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			file, err := conf.Load[jobFile](path)
 			if err != nil {
@@ -83,14 +83,14 @@
 	return cmd
 }
 
-// showJob prints a job and its tasks.
+// showJob prints a job and its tasks, as text or JSON.
 func showJob(cmd *cobra.Command, f *flags, a entry.JobAnswer) error {
 	w := cmd.OutOrStdout()
 	if f.json {
 		return printJSON(w, a)
 	}
 	fmt.Fprintf(w, "%s %s: %s, team %s, %d tasks, submitted %s, ended %s\n",
-		a.ID, a.Spec.Name, a.State, a.Spec.Team, len(a.Tasks), at(a.SubmitMs), at(a.EndMs))
+		a.ID, a.Spec.Name, a.State, a.Spec.Team, len(a.Tasks), formatTime(a.SubmitMs), formatTime(a.EndMs))
 	for i, t := range a.Tasks {
 		fmt.Fprintf(w, "  %d: %-9s attempt %d on %s %s%s\n", i, t.State, t.Attempt, orDash(t.Worker), t.Result, t.Reason)
 	}
@@ -104,10 +104,10 @@
 	return s
 }
 
-// jobCommand returns a command about one job.
-func jobCommand(f *flags, use, short string, run func(*cobra.Command, *caller.Client, jobs.ID) (entry.JobAnswer, error)) *cobra.Command {
+// newJobCommand returns a command that takes a job ID and prints the job.
+func newJobCommand(f *flags, use, short string, run func(*cobra.Command, *caller.Client, jobs.ID) (entry.JobAnswer, error)) *cobra.Command {
 	return &cobra.Command{
-		Use: use + " JOB", Short: short, Args: exactly(1),
+		Use: use + " JOB", Short: short, Args: exactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			a, err := run(cmd, f.client(), jobs.ID(args[0]))
 			if err != nil {
@@ -119,14 +119,14 @@
 }
 
 func newStatus(f *flags) *cobra.Command {
-	return jobCommand(f, "status", "Show a job", func(cmd *cobra.Command, c *caller.Client, id jobs.ID) (entry.JobAnswer, error) {
+	return newJobCommand(f, "status", "Show a job", func(cmd *cobra.Command, c *caller.Client, id jobs.ID) (entry.JobAnswer, error) {
 		return c.Status(contextOf(cmd), id)
 	})
 }
 
 func newWait(f *flags) *cobra.Command {
 	var timeout time.Duration
-	cmd := jobCommand(f, "wait", "Wait for a job's end", func(cmd *cobra.Command, c *caller.Client, id jobs.ID) (entry.JobAnswer, error) {
+	cmd := newJobCommand(f, "wait", "Wait for a job's end", func(cmd *cobra.Command, c *caller.Client, id jobs.ID) (entry.JobAnswer, error) {
 		return c.Wait(contextOf(cmd), id, timeout)
 	})
 	cmd.Flags().DurationVar(&timeout, "timeout", time.Minute, "give up after this time")
@@ -134,14 +134,14 @@
 }
 
 func newCancel(f *flags) *cobra.Command {
-	return jobCommand(f, "cancel", "Cancel a job", func(cmd *cobra.Command, c *caller.Client, id jobs.ID) (entry.JobAnswer, error) {
+	return newJobCommand(f, "cancel", "Cancel a job", func(cmd *cobra.Command, c *caller.Client, id jobs.ID) (entry.JobAnswer, error) {
 		return c.Cancel(contextOf(cmd), id)
 	})
 }
 
 func newExplain(f *flags) *cobra.Command {
 	return &cobra.Command{
-		Use: "explain JOB", Short: "Say why a job waits or where it was placed", Args: exactly(1),
+		Use: "explain JOB", Short: "Say why a job waits or where it was placed", Args: exactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			a, err := f.client().Status(contextOf(cmd), jobs.ID(args[0]))
 			if err != nil {
@@ -162,7 +162,7 @@
 func newList(f *flags) *cobra.Command {
 	var state string
 	cmd := &cobra.Command{
-		Use: "list", Short: "List jobs", Args: exactly(0),
+		Use: "list", Short: "List jobs", Args: exactArgs(0),
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			l, err := f.client().List(contextOf(cmd), jobs.State(state))
 			if err != nil {
@@ -172,7 +172,7 @@
 				return printJSON(cmd.OutOrStdout(), l)
 			}
 			for _, a := range l.Jobs {
-				fmt.Fprintf(cmd.OutOrStdout(), "%-16s %-20s %-10s %-9s %s\n", a.ID, a.Spec.Name, a.Spec.Team, a.State, at(a.SubmitMs))
+				fmt.Fprintf(cmd.OutOrStdout(), "%-16s %-20s %-10s %-9s %s\n", a.ID, a.Spec.Name, a.Spec.Team, a.State, formatTime(a.SubmitMs))
 			}
 			return nil
 		},
@@ -185,7 +185,7 @@
 	var body string
 	call := caller.Call{}
 	cmd := &cobra.Command{
-		Use: "call SERVICE", Short: "Call a service and print its answer", Args: exactly(1),
+		Use: "call SERVICE", Short: "Call a service and print its answer", Args: exactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			call.Service = args[0]
 			var err error
