--- a/internal/tool/cmds/demo.go
+++ b/internal/tool/cmds/demo.go
@@ -44,7 +44,7 @@
 				if err != nil {
 					return err
 				}
-				rep, err := demo.Run(contextOf(cmd), demo.Config{Scene: s, Progress: cmd.ErrOrStderr(), Logger: log, Policy: policy})
+				rep, err := demo.Run(contextOf(cmd), demo.Config{Scenario: s, Progress: cmd.ErrOrStderr(), Logger: log, Policy: policy})
 				if err != nil {
 					return err
 				}
@@ -62,7 +62,7 @@
 func showReports(cmd *cobra.Command, f *flags, reports []*demo.Report) error {
 	broken := false
 	for _, rep := range reports {
-		broken = broken || rep.Broken()
+		broken = broken || rep.Violated()
 		if !f.json {
 			rep.Print(cmd.OutOrStdout())
 		}
--- a/internal/tool/demo/cell.go
+++ b/internal/tool/demo/cell.go
@@ -1,11 +1,11 @@
-// Package demo runs a scenario in one process: the stand-ins of the platform,
-// the entry hosts, the work that arrives and the faults that strike, all on
-// real sockets of the loopback address. It ends with the measures of the run
-// and a verdict on each promise.
+// Package demo runs a scenario in one process: the platform's stand-ins, the
+// entry hosts, a load generator and fault injection, all connected by loopback
+// sockets. It reports the measurements of the run and a verdict on each
+// guarantee.
 //
 // # Usage
 //
-//	report, err := demo.Run(ctx, demo.Config{Scene: s, Progress: os.Stderr})
+//	report, err := demo.Run(ctx, demo.Config{Scenario: s, Progress: os.Stderr})
 //	report.Print(os.Stdout)
 package demo
 
@@ -35,91 +35,90 @@
 
 // Config describes a run.
 type Config struct {
-	Scene    scene.Scene
-	Progress io.Writer // gets a line now and then; nil for none
+	Scenario scene.Scenario
+	Progress io.Writer // receives periodic progress lines; nil for none
 	Logger   logr.Logger
 	Policy   queue.Policy // nil means queue.Fair
 }
 
-// cell is the running parts of a scenario.
+// cell is a running cell: the platform's stand-ins and the entry hosts.
 type cell struct {
-	scene scene.Scene
-	log   *fakes.Log
-	fleet *fakes.Fleet
-	execs *fakes.Execs
-	slots []*slot
+	scenario scene.Scenario
+	log      *fakes.Log
+	fleet    *fakes.Fleet
+	execs    *fakes.Execs
+	slots    []*hostSlot
 }
 
-// slot is the place of one entry host, which may be filled by one process
-// after another.
-type slot struct {
-	settings entry.Settings
-	gate     *gate
-	policy   queue.Policy
+// hostSlot holds one entry host. A restart keeps the slot and its addresses.
+type hostSlot struct {
+	settings  entry.Settings
+	faultyLog *faultyLog
+	policy    queue.Policy
 
-	mu    sync.Mutex
-	host  *entry.Host // nil while nothing runs
-	ready atomic.Bool
-	past  sent // of earlier processes
+	mu      sync.Mutex
+	host    *entry.Host // nil while the entry host is down
+	ready   atomic.Bool
+	earlier peerBytes // by earlier entry hosts in this slot
 }
 
-// gate is a log that can be cut off from one entry host.
-type gate struct {
+// faultyLog is one entry host's log client, with an injectable network partition.
+type faultyLog struct {
 	stream.Log
-	cut atomic.Bool
+	partitioned atomic.Bool
 }
 
-const cutDelay = 500 * time.Millisecond
+const partitionDelay = 500 * time.Millisecond
 
-func (g *gate) blocked(ctx context.Context) error {
-	if !g.cut.Load() {
+func (f *faultyLog) checkPartition(ctx context.Context) error {
+	if !f.partitioned.Load() {
 		return nil
 	}
 	select {
 	case <-ctx.Done():
-	case <-time.After(cutDelay):
+	case <-time.After(partitionDelay):
 	}
-	return fault.New(fault.Unavailable, fault.Unknown, "the log is cut off")
+	return fault.New(fault.Unavailable, fault.Unknown, "the log is partitioned from this entry host")
 }
 
 // Append implements stream.Log.
-func (g *gate) Append(ctx context.Context, name string, data []byte) (int64, error) {
-	if err := g.blocked(ctx); err != nil {
+func (f *faultyLog) Append(ctx context.Context, name string, data []byte) (int64, error) {
+	if err := f.checkPartition(ctx); err != nil {
 		return 0, err
 	}
-	return g.Log.Append(ctx, name, data)
+	return f.Log.Append(ctx, name, data)
 }
 
 // Read implements stream.Log.
-func (g *gate) Read(ctx context.Context, req stream.ReadRequest) (stream.Page, error) {
-	if err := g.blocked(ctx); err != nil {
+func (f *faultyLog) Read(ctx context.Context, req stream.ReadRequest) (stream.Page, error) {
+	if err := f.checkPartition(ctx); err != nil {
 		return stream.Page{}, err
 	}
-	return g.Log.Read(ctx, req)
+	return f.Log.Read(ctx, req)
 }
 
-// startCell starts the stand-ins and the entry hosts.
+// startCell starts the stand-ins and the entry hosts of a scenario.
 func startCell(cfg Config) (c *cell, err error) {
-	s := cfg.Scene
+	s := cfg.Scenario
 	defer fault.Note(&err, "start cell %q", s.Cell.Name)
-	c = &cell{scene: s}
+	c = &cell{scenario: s}
 	defer func() {
 		if err != nil {
 			c.close()
 		}
 	}()
-	const any = "127.0.0.1:0"
-	if c.log, err = fakes.StartLog(fakes.LogConfig{Addr: any, AppendsPerSecond: s.Cell.Appends}); err != nil {
+	const anyPort = "127.0.0.1:0"
+	if c.log, err = fakes.StartLog(fakes.LogConfig{Addr: anyPort, AppendsPerSecond: s.Cell.Appends}); err != nil {
 		return c, err
 	}
-	if c.fleet, err = fakes.StartFleet(fakes.FleetConfig{Addr: any, Workers: fakes.Workers(fakes.GridConfig{
+	if c.fleet, err = fakes.StartFleet(fakes.FleetConfig{Addr: anyPort, Workers: fakes.Workers(fakes.GridConfig{
 		Azs: s.Cell.Azs, Workers: s.Cell.Workers, RackSize: s.Cell.RackSize,
 		CPU: s.Cell.CPU, Mem: s.Cell.Mem, Accel: s.Cell.Accel, AccelEvery: s.Cell.AccelEvery,
 	})}); err != nil {
 		return c, err
 	}
 	if c.execs, err = fakes.StartExecs(fakes.ExecConfig{
-		Addr: any, WorkMs: s.Cell.CallWork.Milliseconds(),
+		Addr: anyPort, WorkMs: s.Cell.CallWork.Milliseconds(),
 		Targets: fakes.Targets(fakes.TargetsConfig{
 			Service: s.Cell.Service, Azs: s.Cell.Azs, Count: s.Cell.Executors, Slots: s.Cell.Slots, Conns: s.Cell.Conns,
 		}),
@@ -131,17 +130,17 @@
 
 func (c *cell) startHosts(cfg Config) error {
 	var first string
-	for i := range c.scene.Cell.Hosts {
+	for i := range c.scenario.Cell.Hosts {
 		text := fmt.Sprintf("[host]\nid = e%d\naz = %s\nlisten = 127.0.0.1:0\npeer = 127.0.0.1:1\npeers = %s\n"+
 			"[platform]\nlog = %s\nhostLists = %s, %s\n[timing]\nrenew = 1s\nlease = 4s\nmargin = 500ms\n",
-			i, c.scene.Cell.Azs[i%len(c.scene.Cell.Azs)], first, c.log.URL(), c.fleet.URL(), c.execs.URL())
+			i, c.scenario.Cell.Azs[i%len(c.scenario.Cell.Azs)], first, c.log.URL(), c.fleet.URL(), c.execs.URL())
 		set, err := conf.Parse[entry.Settings]([]byte(text))
 		if err != nil {
 			return err
 		}
 		set.Host.Peer = "127.0.0.1:0"
 		log := stream.NewClient(stream.ClientConfig{URL: c.log.URL(), Timeout: set.Platform.LogTimeout})
-		s := &slot{settings: set, gate: &gate{Log: log}, policy: cfg.Policy}
+		s := &hostSlot{settings: set, faultyLog: &faultyLog{Log: log}, policy: cfg.Policy}
 		c.slots = append(c.slots, s)
 		if err := s.start(cfg.Logger); err != nil {
 			return err
@@ -151,9 +150,10 @@
 	return nil
 }
 
-// start runs an entry host in the slot, at the addresses of the first one.
-func (s *slot) start(logger logr.Logger) error {
-	h, err := entry.Start(entry.Config{Settings: s.settings, Logger: logger, Log: s.gate, Policy: s.policy})
+// start runs an entry host in the slot. Later ones reuse the addresses of the
+// first.
+func (s *hostSlot) start(logger logr.Logger) error {
+	h, err := entry.Start(entry.Config{Settings: s.settings, Logger: logger, Log: s.faultyLog, Policy: s.policy})
 	if err != nil {
 		return err
 	}
@@ -165,49 +165,52 @@
 	return nil
 }
 
-// take empties the slot and returns the host that was in it.
-func (s *slot) take() *entry.Host {
+// removeHost empties the slot and returns the entry host that was in it.
+func (s *hostSlot) removeHost() *entry.Host {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	h := s.host
 	s.host = nil
 	s.ready.Store(false)
 	if h != nil {
-		s.past = s.past.plus(sentBy(h))
+		s.earlier = s.earlier.plus(bytesSentBy(h))
 	}
 	return h
 }
 
-func (s *slot) current() *entry.Host {
+func (s *hostSlot) current() *entry.Host {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.host
 }
 
-// sent is the bytes that entry hosts have sent to one another.
-type sent struct{ control, work int64 }
+// peerBytes counts the bytes that entry hosts sent to each other.
+type peerBytes struct{ control, work int64 }
 
-func (s sent) plus(o sent) sent { return sent{control: s.control + o.control, work: s.work + o.work} }
+func (s peerBytes) plus(o peerBytes) peerBytes {
+	return peerBytes{control: s.control + o.control, work: s.work + o.work}
+}
 
-func sentBy(h *entry.Host) sent {
+func bytesSentBy(h *entry.Host) peerBytes {
 	t := h.Dump().Traffic
-	return sent{control: t.Control.Out, work: t.Work.Out}
+	return peerBytes{control: t.Control.Out, work: t.Work.Out}
 }
 
-// sent returns the bytes that the slot's hosts have sent to peers.
-func (s *slot) sent() sent {
+// peerBytes returns the bytes that the slot's entry hosts have sent to peers.
+func (s *hostSlot) peerBytes() peerBytes {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.host == nil {
-		return s.past
+		return s.earlier
 	}
-	return s.past.plus(sentBy(s.host))
+	return s.earlier.plus(bytesSentBy(s.host))
 }
 
-func (s *slot) api() string { return "http://" + s.settings.Host.Listen }
+func (s *hostSlot) api() string { return "http://" + s.settings.Host.Listen }
 
-// probe asks the host whether it is ready, as the platform's balancer does.
-func (s *slot) probe(ctx context.Context) {
+// probe updates the slot's readiness with a health check, as the platform's load
+// balancer does.
+func (s *hostSlot) probe(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
 	if s.current() == nil {
@@ -219,25 +222,25 @@
 }
 
 const (
-	probeEvery = 100 * time.Millisecond
-	readyBound = 20 * time.Second
+	probeInterval = 100 * time.Millisecond
+	readyTimeout  = 20 * time.Second
 )
 
-// balance probes all hosts until ctx ends.
-func (c *cell) balance(ctx context.Context) {
+// probeHosts probes all entry hosts until ctx ends.
+func (c *cell) probeHosts(ctx context.Context) {
 	for ctx.Err() == nil {
 		for _, s := range c.slots {
 			go s.probe(ctx)
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(probeEvery):
+		case <-time.After(probeInterval):
 		}
 	}
 }
 
-// groups returns how many groups the cell's racks form.
-func (c *cell) groups() int {
+// groupCount returns the number of groups that the cell's racks form.
+func (c *cell) groupCount() int {
 	names := map[string]bool{}
 	for _, w := range c.fleet.List() {
 		names[entry.GroupOf(w.Az, w.Rack, c.slots[0].settings.Platform.GroupsInAz)] = true
@@ -245,8 +248,8 @@
 	return len(names)
 }
 
-// owned returns how many groups have an owner.
-func (c *cell) owned() int {
+// ownedGroups returns the number of groups that have an owner.
+func (c *cell) ownedGroups() int {
 	n := 0
 	for _, s := range c.slots {
 		for _, g := range s.current().Dump().Groups {
@@ -258,9 +261,9 @@
 	return n
 }
 
-// awaitReady waits until every host is ready and every group has an owner.
+// awaitReady waits until every entry host is ready and every group has an owner.
 func (c *cell) awaitReady(ctx context.Context) error {
-	deadline := time.Now().Add(readyBound)
+	deadline := time.Now().Add(readyTimeout)
 	for {
 		ready := 0
 		for _, s := range c.slots {
@@ -269,26 +272,26 @@
 			}
 		}
 		switch {
-		case ready == len(c.slots) && c.owned() == c.groups():
+		case ready == len(c.slots) && c.ownedGroups() == c.groupCount():
 			return nil
 		case ctx.Err() != nil:
 			return ctx.Err()
 		case time.Now().After(deadline):
 			return fault.New(fault.Unavailable, fault.NotRun, "only %d of %d entry hosts are ready", ready, len(c.slots))
 		}
-		time.Sleep(probeEvery)
+		time.Sleep(probeInterval)
 	}
 }
 
-// setUp makes the plans, lists and keys of all teams.
-func (c *cell) setUp(ctx context.Context) error {
+// createTeams creates the plans, allow lists and keys of all teams.
+func (c *cell) createTeams(ctx context.Context) error {
 	op := caller.New(caller.Config{API: []string{c.slots[0].api()}, MaxAttempts: 100})
-	for _, t := range c.scene.Teams {
+	for _, t := range c.scenario.Teams {
 		limit := jobs.Size{CPU: int64(t.CPU * 1000), Mem: jobs.Unlimited, Accel: jobs.Unlimited}
 		for _, e := range []config.Edit{
 			{Kind: config.SetPlan, Name: t.Name, Share: t.Share, Limit: limit},
 			{Kind: config.AddAllow, Name: t.Name, Items: []string{"queue:*", "service:*", "az:*"}},
-			{Kind: config.GiveKey, Name: t.Name, Team: t.Name, Secret: config.HashSecret(secret)},
+			{Kind: config.GiveKey, Name: t.Name, Team: t.Name, Secret: config.HashSecret(keySecret)},
 		} {
 			if _, err := op.Edit(ctx, e); err != nil {
 				return err
@@ -298,14 +301,14 @@
 	return nil
 }
 
-// secret is the secret part of every key of a demonstration.
-const secret = "demo"
+// keySecret is the secret part of every team's key.
+const keySecret = "demo"
 
-// close ends everything at once.
+// close kills all entry hosts and closes the stand-ins.
 func (c *cell) close() {
 	var wg sync.WaitGroup
 	for _, s := range c.slots {
-		if h := s.take(); h != nil {
+		if h := s.removeHost(); h != nil {
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
--- a/internal/tool/demo/demo_test.go
+++ b/internal/tool/demo/demo_test.go
@@ -49,19 +49,19 @@
 of = 0
 `
 
-// TestRun runs a small scenario with a zone that leaves and an entry host that
-// dies, and checks that the report speaks of what happened.
+// TestRun runs a small scenario in which a zone is taken out and an entry host is
+// killed, and checks the guarantees and the figures of the report.
 func TestRun(t *testing.T) {
-	s, err := conf.Parse[scene.Scene]([]byte(tiny))
+	s, err := conf.Parse[scene.Scenario]([]byte(tiny))
 	assert.NilError(t, err)
-	rep, err := Run(context.Background(), Config{Scene: s, Logger: logr.Discard()})
+	rep, err := Run(context.Background(), Config{Scenario: s, Logger: logr.Discard()})
 	assert.NilError(t, err)
 	for _, v := range rep.Verdicts {
-		assert.Assert(t, v.Held(), "%s: %v", v.Promise, v.Evidence)
+		assert.Assert(t, v.Held(), "%s: %v", v.Guarantee, v.Violations)
 	}
 	assert.Assert(t, rep.Jobs["done"] > 20, "jobs: %v", rep.Jobs)
 	assert.Assert(t, rep.Calls["done"] > 10, "calls: %v", rep.Calls)
-	assert.Assert(t, rep.Appends > 0 && rep.Control > 0 && rep.AzWork > 0)
+	assert.Assert(t, rep.Appends > 0 && rep.Control > 0 && rep.ZoneChangeUse > 0)
 	var out bytes.Buffer
 	rep.Print(&out)
 	assert.Assert(t, strings.Contains(out.String(), "held    No task runs in two places"), out.String())
--- a/internal/tool/demo/idle.go
+++ b/internal/tool/demo/idle.go
@@ -8,21 +8,22 @@
 	"lagooncourse/internal/tool/scene"
 )
 
-// Idle is a running cell without work, for measuring what control costs.
-type Idle struct {
+// IdleCell is a running cell without load, for measuring control overhead.
+type IdleCell struct {
 	c      *cell
 	cancel context.CancelFunc
 }
 
-// StartIdle starts a cell and waits until every group has an owner.
-func StartIdle(ctx context.Context, cell scene.Cell, logger logr.Logger) (*Idle, error) {
-	c, err := startCell(Config{Scene: scene.Scene{Cell: cell}, Logger: logger})
+// StartIdle starts a cell and waits until every entry host is ready and every
+// group has an owner.
+func StartIdle(ctx context.Context, cell scene.Cell, logger logr.Logger) (*IdleCell, error) {
+	c, err := startCell(Config{Scenario: scene.Scenario{Cell: cell}, Logger: logger})
 	if err != nil {
 		return nil, err
 	}
 	bctx, cancel := context.WithCancel(ctx)
-	go c.balance(bctx)
-	i := &Idle{c: c, cancel: cancel}
+	go c.probeHosts(bctx)
+	i := &IdleCell{c: c, cancel: cancel}
 	if err := c.awaitReady(ctx); err != nil {
 		i.Close()
 		return nil, err
@@ -30,17 +31,18 @@
 	return i, nil
 }
 
-// ControlBytes returns the bytes that all entry hosts have sent for control.
-func (i *Idle) ControlBytes() int64 {
-	var sum sent
+// ControlBytes returns the control traffic that all entry hosts have sent, in
+// bytes.
+func (i *IdleCell) ControlBytes() int64 {
+	var sum peerBytes
 	for _, s := range i.c.slots {
-		sum = sum.plus(s.sent())
+		sum = sum.plus(s.peerBytes())
 	}
 	return sum.control
 }
 
-// Close ends the cell.
-func (i *Idle) Close() {
+// Close stops the cell.
+func (i *IdleCell) Close() {
 	i.cancel()
 	i.c.close()
 }
--- a/internal/tool/demo/load.go
+++ b/internal/tool/demo/load.go
@@ -17,63 +17,64 @@
 	"lagooncourse/internal/tool/scene"
 )
 
-// load sends the scenario's work and remembers what the callers were told.
-type load struct {
+// generator sends the scenario's jobs and calls and records their outcomes.
+type generator struct {
 	c     *cell
 	start time.Time
 
 	mu        sync.Mutex
-	jobs      []judge.Submitted
-	calls     []judge.Called
+	jobs      []judge.SubmittedJob
+	calls     []judge.CallRecord
 	services  []jobs.ID
 	cancelled map[jobs.ID]bool
-	refused   int // jobs that were refused for good
-	next      int // host for the next request
+	refused   int // jobs refused with a permanent error, or not accepted in time
+	lastHost  int // entry host of the latest request
 	wg        sync.WaitGroup
 }
 
 func nowMs() int64 { return time.Now().UnixMilli() }
 
-// pick returns the next ready host, as a balancer would, or any host if none
-// is ready.
-func (l *load) pick() int {
+// nextHost selects the next ready entry host round-robin, or any entry host if
+// none is ready.
+func (l *generator) nextHost() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for range l.c.slots {
-		l.next = (l.next + 1) % len(l.c.slots)
-		if l.c.slots[l.next].ready.Load() {
-			return l.next
+		l.lastHost = (l.lastHost + 1) % len(l.c.slots)
+		if l.c.slots[l.lastHost].ready.Load() {
+			return l.lastHost
 		}
 	}
-	return l.next
+	return l.lastHost
 }
 
-func (l *load) client(host int, team string) *caller.Client {
-	return caller.New(caller.Config{API: []string{l.c.slots[host].api()}, Key: team + "." + secret})
+func (l *generator) client(host int, team string) *caller.Client {
+	return caller.New(caller.Config{API: []string{l.c.slots[host].api()}, Key: team + "." + keySecret})
 }
 
-// run sends all work until ctx ends and waits for the requests in flight.
-func (l *load) run(ctx context.Context) {
-	for i, w := range l.c.scene.Work {
-		l.arrive(ctx, uint64(i), w.Every, w.From, w.Most, func(r *rand.Rand, n int) { l.submit(w, runTime(r, w.RunFor), n) })
+// run generates load until ctx ends and waits for the requests in flight.
+func (l *generator) run(ctx context.Context) {
+	for i, w := range l.c.scenario.Work {
+		l.generate(ctx, uint64(i), w.Every, w.StartAfter, w.MaxJobs, func(r *rand.Rand, n int) { l.submit(w, runTime(r, w.RunFor), n) })
 	}
-	for i, k := range l.c.scene.Calls {
-		l.arrive(ctx, uint64(len(l.c.scene.Work)+i), k.Every, 0, math.MaxInt, func(_ *rand.Rand, n int) { l.call(k, n) })
+	for i, k := range l.c.scenario.Calls {
+		l.generate(ctx, uint64(len(l.c.scenario.Work)+i), k.Every, 0, math.MaxInt, func(_ *rand.Rand, n int) { l.call(k, n) })
 	}
 	<-ctx.Done()
 	l.wg.Wait()
 }
 
-// arrive calls fn at random instants with the given mean distance. The
-// sequence depends on the seed only.
-func (l *load) arrive(ctx context.Context, salt uint64, every, from time.Duration, most int, fn func(*rand.Rand, int)) {
-	r := rand.New(rand.NewPCG(uint64(l.c.scene.Cell.Seed), salt))
+// generate calls fn up to maxCount times, from the given offset on, at
+// exponentially distributed intervals. The sequence of intervals depends only on
+// the scenario's seed.
+func (l *generator) generate(ctx context.Context, salt uint64, meanInterval, startAfter time.Duration, maxCount int, fn func(*rand.Rand, int)) {
+	r := rand.New(rand.NewPCG(uint64(l.c.scenario.Cell.Seed), salt))
 	l.wg.Add(1)
 	go func() {
 		defer l.wg.Done()
-		next := l.start.Add(from)
-		for n := 0; n < most; n++ {
-			next = next.Add(time.Duration(r.ExpFloat64() * float64(every)))
+		next := l.start.Add(startAfter)
+		for n := 0; n < maxCount; n++ {
+			next = next.Add(time.Duration(r.ExpFloat64() * float64(meanInterval)))
 			select {
 			case <-ctx.Done():
 				return
@@ -90,36 +91,36 @@
 }
 
 const (
-	runSpread  = 0.8 // sigma of the logarithm of run times
-	maxStretch = 3   // longest run time, as a multiple of the mean
+	runTimeSigma     = 0.8 // sigma of the logarithm of run times
+	maxRunTimeFactor = 3   // longest run time, as a multiple of the mean
 )
 
 // runTime draws a heavy-tailed run time with the given mean.
 func runTime(r *rand.Rand, mean time.Duration) time.Duration {
-	f := math.Exp(r.NormFloat64()*runSpread - runSpread*runSpread/2)
-	return time.Duration(min(f, maxStretch) * float64(mean))
+	f := math.Exp(r.NormFloat64()*runTimeSigma - runTimeSigma*runTimeSigma/2)
+	return time.Duration(min(f, maxRunTimeFactor) * float64(mean))
 }
 
 const (
-	submitBound = 15 * time.Second // how long a submitter tries
-	submitRetry = 200 * time.Millisecond
+	submitTimeout = 15 * time.Second // for all attempts to submit a job
+	retryDelay    = 200 * time.Millisecond
 )
 
-// submit sends one job until it is accepted or refused for good. The
-// submission id makes repetitions harmless.
-func (l *load) submit(w scene.Work, run time.Duration, n int) {
+// submit sends one job until it is accepted, is refused with a permanent error or
+// the timeout passes. The submission ID makes retries idempotent.
+func (l *generator) submit(w scene.Work, run time.Duration, n int) {
 	runMs := max(run.Milliseconds(), 1)
 	if w.Kind == string(jobs.Service) {
 		runMs = 0
 	}
 	spec := w.Spec(runMs).WithSubmission(fmt.Sprintf("%s-%d", w.Name, n))
-	ctx, cancel := context.WithTimeout(context.Background(), submitBound)
+	ctx, cancel := context.WithTimeout(context.Background(), submitTimeout)
 	defer cancel()
 	sent := nowMs()
 	for ctx.Err() == nil {
-		j, err := l.client(l.pick(), w.Team).Submit(ctx, spec)
+		j, err := l.client(l.nextHost(), w.Team).Submit(ctx, spec)
 		if err == nil {
-			l.accepted(judge.Submitted{
+			l.recordAccepted(judge.SubmittedJob{
 				ID: j.ID, Team: w.Team, Kind: spec.Kind, Idempotent: spec.Idempotent, SentMs: sent, AcceptedMs: nowMs(),
 			})
 			return
@@ -129,7 +130,7 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(submitRetry):
+		case <-time.After(retryDelay):
 		}
 	}
 	l.mu.Lock()
@@ -137,7 +138,7 @@
 	l.refused++
 }
 
-func (l *load) accepted(s judge.Submitted) {
+func (l *generator) recordAccepted(s judge.SubmittedJob) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.jobs = append(l.jobs, s)
@@ -146,17 +147,17 @@
 	}
 }
 
-// call sends one call, once.
-func (l *load) call(k scene.Calls, n int) {
-	host := l.pick()
+// call sends one call without retries and records its outcome.
+func (l *generator) call(k scene.Calls, n int) {
+	host := l.nextHost()
 	id := fmt.Sprintf("%s-%d", k.Name, n)
 	ctx, cancel := context.WithTimeout(context.Background(), k.Timeout+time.Second)
 	defer cancel()
-	c := judge.Called{ID: id, Team: k.Team, Idempotent: k.Idempotent, SentMs: nowMs(), Host: host}
+	c := judge.CallRecord{ID: id, Team: k.Team, Idempotent: k.Idempotent, SentMs: nowMs(), Host: host}
 	a, err := l.client(host, k.Team).Call(ctx, caller.Call{
-		Service: l.c.scene.Cell.Service, ID: id, Idempotent: k.Idempotent, Timeout: k.Timeout, Body: []byte(id),
+		Service: l.c.scenario.Cell.Service, ID: id, Idempotent: k.Idempotent, Timeout: k.Timeout, Body: []byte(id),
 	})
-	c.EndMs, c.Ran, c.Whole = nowMs(), fault.RanOf(err), strings.HasSuffix(string(a.Body), `"echo":`+strconv.Quote(id)+"}")
+	c.EndMs, c.Ran, c.Complete = nowMs(), fault.RanOf(err), strings.HasSuffix(string(a.Body), `"echo":`+strconv.Quote(id)+"}")
 	if err != nil {
 		c.Code = fault.From(err).Code
 	}
@@ -165,17 +166,17 @@
 	l.calls = append(l.calls, c)
 }
 
-// cancel cancels every job of a work that has not ended.
-func (l *load) cancel(work string) {
+// cancel cancels all unfinished jobs of a Work section.
+func (l *generator) cancel(work string) {
 	var team string
-	for _, w := range l.c.scene.Work {
+	for _, w := range l.c.scenario.Work {
 		if w.Name == work {
 			team = w.Team
 		}
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), submitBound)
+	ctx, cancel := context.WithTimeout(context.Background(), submitTimeout)
 	defer cancel()
-	list, err := l.client(l.pick(), team).List(ctx, "")
+	list, err := l.client(l.nextHost(), team).List(ctx, "")
 	if err != nil {
 		return
 	}
@@ -186,25 +187,25 @@
 	}
 }
 
-func (l *load) cancelJob(ctx context.Context, team string, id jobs.ID) {
+func (l *generator) cancelJob(ctx context.Context, team string, id jobs.ID) {
 	l.mu.Lock()
 	l.cancelled[id] = true
 	l.mu.Unlock()
 	l.wg.Add(1)
 	go func() {
 		defer l.wg.Done()
-		_, _ = caller.New(caller.Config{API: []string{l.c.slots[l.pick()].api()}, MaxAttempts: 20}).Cancel(ctx, id)
+		_, _ = caller.New(caller.Config{API: []string{l.c.slots[l.nextHost()].api()}, MaxAttempts: 20}).Cancel(ctx, id)
 	}()
 }
 
 const (
-	settlePoll    = 200 * time.Millisecond
-	statusWorkers = 16
+	statePollInterval = 200 * time.Millisecond
+	statusWorkers     = 16
 )
 
-// settle cancels the services and waits until every accepted job has ended or
-// is parked, up to d. It notes the final state of each.
-func (l *load) settle(ctx context.Context, d time.Duration) {
+// awaitFinalStates cancels the services, waits up to d until every accepted job
+// has ended or is parked, and records the final state of each.
+func (l *generator) awaitFinalStates(ctx context.Context, d time.Duration) {
 	l.mu.Lock()
 	services := append([]jobs.ID(nil), l.services...)
 	l.mu.Unlock()
@@ -212,14 +213,14 @@
 		l.cancelJob(ctx, "", id)
 	}
 	deadline := time.Now().Add(d)
-	for l.refresh(ctx) > 0 && time.Now().Before(deadline) && ctx.Err() == nil {
-		time.Sleep(settlePoll)
+	for l.refreshStates(ctx) > 0 && time.Now().Before(deadline) && ctx.Err() == nil {
+		time.Sleep(statePollInterval)
 	}
 }
 
-// refresh asks for the state of every job that is not known to have ended and
-// returns how many are left.
-func (l *load) refresh(ctx context.Context) int {
+// refreshStates updates the state of every job that has not ended and returns how
+// many remain.
+func (l *generator) refreshStates(ctx context.Context) int {
 	work := make(chan int)
 	var wg sync.WaitGroup
 	for range statusWorkers {
@@ -227,12 +228,12 @@
 		go func() {
 			defer wg.Done()
 			for i := range work {
-				l.refreshOne(ctx, i)
+				l.refreshState(ctx, i)
 			}
 		}()
 	}
 	for i := range l.jobs {
-		if !ended(l.jobs[i].Final) {
+		if !endedOrParked(l.jobs[i].Final) {
 			work <- i
 		}
 	}
@@ -240,18 +241,19 @@
 	wg.Wait()
 	left := 0
 	for i := range l.jobs {
-		if !ended(l.jobs[i].Final) {
+		if !endedOrParked(l.jobs[i].Final) {
 			left++
 		}
 	}
 	return left
 }
 
-func ended(s jobs.State) bool { return s.Final() || s == jobs.Parked }
+func endedOrParked(s jobs.State) bool { return s.Final() || s == jobs.Parked }
 
-// refreshOne asks as an operator, since a team's key may be withdrawn.
-func (l *load) refreshOne(ctx context.Context, i int) {
-	op := caller.New(caller.Config{API: []string{l.c.slots[l.pick()].api()}})
+// refreshState updates one job's state. It uses operator access, because the
+// team's key may have been withdrawn.
+func (l *generator) refreshState(ctx context.Context, i int) {
+	op := caller.New(caller.Config{API: []string{l.c.slots[l.nextHost()].api()}})
 	if a, err := op.Status(ctx, l.jobs[i].ID); err == nil {
 		l.jobs[i].Final = a.State
 	}
--- a/internal/tool/demo/run.go
+++ b/internal/tool/demo/run.go
@@ -17,19 +17,19 @@
 	"lagooncourse/internal/tool/scene"
 )
 
-// run is the state of one run.
+// run holds the state of one demonstration run.
 type run struct {
-	cfg  Config
-	c    *cell
-	load *load
+	cfg       Config
+	c         *cell
+	generator *generator
 
-	mu sync.Mutex
-	ev judge.Evidence
-	wg sync.WaitGroup // faults under way
+	mu      sync.Mutex
+	history judge.History
+	wg      sync.WaitGroup // fault injections and edit watches in progress
 }
 
-// Run runs the scenario and reports on it. A broken promise is part of the
-// report and no error.
+// Run runs the scenario and returns its report. A violated guarantee appears in
+// the report and is not an error.
 func Run(ctx context.Context, cfg Config) (*Report, error) {
 	c, err := startCell(cfg)
 	if err != nil {
@@ -38,73 +38,74 @@
 	defer c.close()
 	bctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	go c.balance(bctx)
+	go c.probeHosts(bctx)
 	if err := c.awaitReady(ctx); err != nil {
 		return nil, err
 	}
-	if err := c.setUp(ctx); err != nil {
+	if err := c.createTeams(ctx); err != nil {
 		return nil, err
 	}
-	r := &run{cfg: cfg, c: c, load: &load{c: c, start: time.Now(), cancelled: map[jobs.ID]bool{}}}
-	return r.all(bctx)
+	r := &run{cfg: cfg, c: c, generator: &generator{c: c, start: time.Now(), cancelled: map[jobs.ID]bool{}}}
+	return r.execute(bctx)
 }
 
-func (r *run) all(ctx context.Context) (*Report, error) {
-	s := r.cfg.Scene
-	before := r.c.costs()
+func (r *run) execute(ctx context.Context) (*Report, error) {
+	s := r.cfg.Scenario
+	before := r.c.counters()
 	watch, stopWatch := context.WithCancel(ctx)
 	defer stopWatch()
 	go r.watchConfig(watch)
 	go r.progress(watch)
 	loadCtx, cancel := context.WithTimeout(ctx, s.Cell.Run)
 	defer cancel()
-	go r.faults(ctx)
-	r.load.run(loadCtx)
-	after := r.c.costs()
+	go r.injectFaults(ctx)
+	r.generator.run(loadCtx)
+	after := r.c.counters()
 	r.wg.Wait()
-	r.load.settle(ctx, s.Cell.Settle)
+	r.generator.awaitFinalStates(ctx, s.Cell.Settle)
 	stopWatch()
-	r.showLeft(ctx)
+	r.printUnfinished(ctx)
 	r.collect()
 	return r.report(before, after), ctx.Err()
 }
 
-// showLeft prints what the system says about accepted jobs that have not ended.
-func (r *run) showLeft(ctx context.Context) {
+// printUnfinished prints the state of accepted jobs that have not ended.
+func (r *run) printUnfinished(ctx context.Context) {
 	if r.cfg.Progress == nil {
 		return
 	}
-	for _, j := range r.load.jobs {
-		if ended(j.Final) {
+	for _, j := range r.generator.jobs {
+		if endedOrParked(j.Final) {
 			continue
 		}
-		op := caller.New(caller.Config{API: []string{r.c.slots[r.load.pick()].api()}})
+		op := caller.New(caller.Config{API: []string{r.c.slots[r.generator.nextHost()].api()}})
 		a, err := op.Status(ctx, j.ID)
-		fmt.Fprintf(r.cfg.Progress, "%s: job %s has not ended: %v, tasks %+v, why %q\n", r.cfg.Scene.Cell.Name, j.ID, err, a.Tasks, a.Why)
+		fmt.Fprintf(r.cfg.Progress, "%s: job %s has not ended: %v, tasks %+v, why %q\n", r.cfg.Scenario.Cell.Name, j.ID, err, a.Tasks, a.Why)
 	}
 }
 
-// collect gathers what the platform recorded.
+// collect copies the records of the stand-ins and the load generator into the
+// history.
 func (r *run) collect() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	s := r.cfg.Scene
-	r.ev.EndMs = nowMs()
-	r.ev.Runs, r.ev.Executions = r.c.fleet.Runs(), r.c.execs.Executions()
-	r.ev.Jobs, r.ev.Calls = r.load.jobs, r.load.calls
-	r.ev.Capacity, r.ev.Limits = map[string]jobs.Size{}, map[string]jobs.Size{}
+	s := r.cfg.Scenario
+	r.history.EndMs = nowMs()
+	r.history.Runs, r.history.Executions = r.c.fleet.Runs(), r.c.execs.Executions()
+	r.history.Jobs, r.history.Calls = r.generator.jobs, r.generator.calls
+	r.history.Capacity, r.history.Limits = map[string]jobs.Size{}, map[string]jobs.Size{}
 	for _, w := range r.c.fleet.List() {
-		r.ev.Capacity[w.ID] = jobs.Size{CPU: w.CPU, Mem: w.Mem, Accel: w.Accel}
+		r.history.Capacity[w.ID] = jobs.Size{CPU: w.CPU, Mem: w.Mem, Accel: w.Accel}
 	}
 	for _, t := range s.Teams {
-		r.ev.Limits[t.Name] = jobs.Size{CPU: int64(t.CPU * 1000), Mem: jobs.Unlimited, Accel: jobs.Unlimited}
+		r.history.Limits[t.Name] = jobs.Size{CPU: int64(t.CPU * 1000), Mem: jobs.Unlimited, Accel: jobs.Unlimited}
 	}
-	r.ev.SlotPeak, r.ev.Slots = r.c.execs.Peaks().Slots, s.Cell.Slots
+	r.history.SlotPeak, r.history.Slots = r.c.execs.Peaks().Slots, s.Cell.Slots
 }
 
-const progressEvery = 2 * time.Second
+const progressInterval = 2 * time.Second
 
-// progress prints a line now and then.
+// progress prints a progress line at regular intervals.
 func (r *run) progress(ctx context.Context) {
 	if r.cfg.Progress == nil {
 		return
@@ -113,19 +114,19 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(progressEvery):
+		case <-time.After(progressInterval):
 		}
-		r.load.mu.Lock()
-		nj, nc := len(r.load.jobs), len(r.load.calls)
-		r.load.mu.Unlock()
+		r.generator.mu.Lock()
+		nj, nc := len(r.generator.jobs), len(r.generator.calls)
+		r.generator.mu.Unlock()
 		fmt.Fprintf(r.cfg.Progress, "%s: %4.1f s, %d jobs accepted, %d calls ended, %d task starts\n",
-			r.cfg.Scene.Cell.Name, time.Since(r.load.start).Seconds(), nj, nc, len(r.c.fleet.Runs()))
+			r.cfg.Scenario.Cell.Name, time.Since(r.generator.start).Seconds(), nj, nc, len(r.c.fleet.Runs()))
 	}
 }
 
-// faults makes the scenario's faults happen in the order of their times.
-func (r *run) faults(ctx context.Context) {
-	list := append([]scene.Fault(nil), r.cfg.Scene.Faults...)
+// injectFaults injects the scenario's faults in the order of their times.
+func (r *run) injectFaults(ctx context.Context) {
+	list := append([]scene.Fault(nil), r.cfg.Scenario.Faults...)
 	slices.SortStableFunc(list, func(a, b scene.Fault) int { return int(a.At - b.At) })
 	r.wg.Add(len(list))
 	for _, f := range list {
@@ -133,62 +134,64 @@
 		case <-ctx.Done():
 			r.wg.Done()
 			continue
-		case <-time.After(time.Until(r.load.start.Add(f.At))):
+		case <-time.After(time.Until(r.generator.start.Add(f.At))):
 		}
 		go func() {
 			defer r.wg.Done()
-			r.strike(ctx, f)
+			r.inject(ctx, f)
 		}()
 	}
 }
 
-// strike makes one fault happen.
-func (r *run) strike(ctx context.Context, f scene.Fault) {
+// inject injects one fault.
+func (r *run) inject(ctx context.Context, f scene.Fault) {
 	switch f.Kind {
 	case scene.LogOut:
 		r.c.log.Set(fakes.LogSwitch{Outage: true})
 	case scene.LogBack:
 		r.c.log.Set(fakes.LogSwitch{})
 	case scene.LogSlow:
-		r.c.log.Set(fakes.LogSwitch{SlowMs: int64(f.N)})
+		r.c.log.Set(fakes.LogSwitch{SlowMs: int64(f.Count)})
 	case scene.LoseAnswers:
-		r.c.log.Set(fakes.LogSwitch{LoseAnswers: f.N})
+		r.c.log.Set(fakes.LogSwitch{LoseAnswers: f.Count})
 	case scene.BadWorker:
-		r.c.fleet.Set(fakes.WorkerSwitch{Worker: f.Of, FailAll: true})
+		r.c.fleet.Set(fakes.WorkerSwitch{Worker: f.Subject, FailAll: true})
 	case scene.LoseWorker:
-		r.c.fleet.Set(fakes.WorkerSwitch{Worker: f.Of, Dead: true})
+		r.c.fleet.Set(fakes.WorkerSwitch{Worker: f.Subject, Dead: true})
 	case scene.MendWorker:
-		r.c.fleet.Set(fakes.WorkerSwitch{Worker: f.Of})
+		r.c.fleet.Set(fakes.WorkerSwitch{Worker: f.Subject})
 	case scene.AzOut, scene.AzBack:
 		r.changeAz(ctx, f)
-	case scene.Withdraw:
-		r.withdraw(ctx, f.Of)
-	case scene.CancelAll:
-		r.load.cancel(f.Of)
+	case scene.WithdrawKey:
+		r.withdrawKey(ctx, f.Subject)
+	case scene.CancelWork:
+		r.generator.cancel(f.Subject)
 	case scene.LeaveTarget:
-		r.c.execs.Set(fakes.ExecSwitch{Target: f.Of, State: hosts.Leaving})
-		r.note(func(e *judge.Evidence) { e.Leaving = append(e.Leaving, judge.Span{Name: f.Of, StartMs: nowMs()}) })
+		r.c.execs.Set(fakes.ExecSwitch{Target: f.Subject, State: hosts.Leaving})
+		r.record(func(hist *judge.History) {
+			hist.Leaving = append(hist.Leaving, judge.Interval{Name: f.Subject, StartMs: nowMs()})
+		})
 	case scene.CrossAnswer:
-		r.c.execs.Set(fakes.ExecSwitch{Target: f.Of, Cross: true})
+		r.c.execs.Set(fakes.ExecSwitch{Target: f.Subject, Cross: true})
 	case scene.CutAnswer:
-		r.c.execs.Set(fakes.ExecSwitch{Target: f.Of, Cut: true})
+		r.c.execs.Set(fakes.ExecSwitch{Target: f.Subject, Cut: true})
 	case scene.MendTarget:
-		r.c.execs.Set(fakes.ExecSwitch{Target: f.Of})
+		r.c.execs.Set(fakes.ExecSwitch{Target: f.Subject})
 	default:
-		r.strikeHost(ctx, f)
+		r.injectHostFault(ctx, f)
 	}
 }
 
-// strikeHost makes a fault of an entry host happen.
-func (r *run) strikeHost(ctx context.Context, f scene.Fault) {
-	n, err := strconv.Atoi(f.Of)
+// injectHostFault injects a fault into an entry host.
+func (r *run) injectHostFault(ctx context.Context, f scene.Fault) {
+	n, err := strconv.Atoi(f.Subject)
 	if err != nil || n < 0 || n >= len(r.c.slots) {
 		return
 	}
 	s := r.c.slots[n]
 	switch f.Kind {
 	case scene.KillHost:
-		if h := s.take(); h != nil {
+		if h := s.removeHost(); h != nil {
 			h.Kill()
 		}
 	case scene.StartHost:
@@ -196,14 +199,14 @@
 			_ = s.start(r.cfg.Logger)
 		}
 	case scene.StopHost:
-		r.stopHost(ctx, n)
+		r.restartHost(ctx, n)
 	case scene.CutHost, scene.MendHost:
-		r.cutHost(s, f.Kind == scene.CutHost)
+		r.partitionHost(s, f.Kind == scene.CutHost)
 	}
 }
 
-// stopHost replaces an entry host by a planned stop and a new process.
-func (r *run) stopHost(ctx context.Context, n int) {
+// restartHost stops an entry host gracefully and starts a new one in its slot.
+func (r *run) restartHost(ctx context.Context, n int) {
 	s := r.c.slots[n]
 	h := s.current()
 	if h == nil {
@@ -213,17 +216,17 @@
 	ctx, cancel := context.WithTimeout(ctx, s.settings.Timing.Stop)
 	defer cancel()
 	_ = h.Stop(ctx)
-	s.take()
-	r.note(func(e *judge.Evidence) {
-		e.Stops = append(e.Stops, judge.Span{Name: strconv.Itoa(n), StartMs: start, EndMs: nowMs()})
+	s.removeHost()
+	r.record(func(hist *judge.History) {
+		hist.Stops = append(hist.Stops, judge.Interval{Name: strconv.Itoa(n), StartMs: start, EndMs: nowMs()})
 	})
 	_ = s.start(r.cfg.Logger)
 }
 
-// cutHost breaks or mends the paths between one entry host, the log and the
-// other entry hosts. Workers and executors stay within its reach.
-func (r *run) cutHost(s *slot, on bool) {
-	s.gate.cut.Store(on)
+// partitionHost starts or heals a network partition between one entry host and
+// both the log and the other entry hosts. Workers and executors stay reachable.
+func (r *run) partitionHost(s *hostSlot, on bool) {
+	s.faultyLog.partitioned.Store(on)
 	h := s.current()
 	for _, other := range r.c.slots {
 		o := other.current()
@@ -235,16 +238,16 @@
 	}
 }
 
-func (r *run) note(fn func(*judge.Evidence)) {
+func (r *run) record(fn func(*judge.History)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	fn(&r.ev)
+	fn(&r.history)
 }
 
-// edit makes an operator's edit through any ready host and notes when it was
+// edit sends an operator's edit to any ready entry host and returns when it was
 // accepted.
 func (r *run) edit(ctx context.Context, e config.Edit) (acceptedMs int64, ok bool) {
-	op := caller.New(caller.Config{API: []string{r.c.slots[r.load.pick()].api()}, MaxAttempts: 50})
+	op := caller.New(caller.Config{API: []string{r.c.slots[r.generator.nextHost()].api()}, MaxAttempts: 50})
 	conf, err := op.Config(ctx)
 	if err != nil {
 		return 0, false
@@ -268,50 +271,51 @@
 	if f.Kind == scene.AzBack {
 		kind = config.AzBack
 	}
-	at, ok := r.edit(ctx, config.Edit{Kind: kind, Name: f.Of, By: "demo"})
+	at, ok := r.edit(ctx, config.Edit{Kind: kind, Name: f.Subject, By: "demo"})
 	if !ok {
 		return
 	}
-	r.note(func(e *judge.Evidence) {
+	r.record(func(hist *judge.History) {
 		if kind == config.AzOut {
-			e.AzOut = append(e.AzOut, judge.Span{Name: f.Of, StartMs: at})
+			hist.AzOut = append(hist.AzOut, judge.Interval{Name: f.Subject, StartMs: at})
 			return
 		}
-		for i := range e.AzOut {
-			if e.AzOut[i].Name == f.Of && e.AzOut[i].EndMs == 0 {
-				e.AzOut[i].EndMs = at
+		for i := range hist.AzOut {
+			if hist.AzOut[i].Name == f.Subject && hist.AzOut[i].EndMs == 0 {
+				hist.AzOut[i].EndMs = at
 			}
 		}
 	})
 }
 
-func (r *run) withdraw(ctx context.Context, team string) {
+func (r *run) withdrawKey(ctx context.Context, team string) {
 	if at, ok := r.edit(ctx, config.Edit{Kind: config.WithdrawKey, Name: team, By: "demo"}); ok {
-		r.note(func(e *judge.Evidence) { e.Withdrawn = append(e.Withdrawn, judge.Span{Name: team, StartMs: at}) })
+		r.record(func(hist *judge.History) {
+			hist.Withdrawn = append(hist.Withdrawn, judge.Interval{Name: team, StartMs: at})
+		})
 	}
 }
 
 const (
-	watchEvery = 50 * time.Millisecond
-	watchBound = 10 * time.Second
+	watchInterval = 50 * time.Millisecond
+	watchTimeout  = 10 * time.Second
 )
 
-// watchEdit notes when an accepted edit is in force on every host that takes
-// requests.
+// watchEdit records when every ready entry host has applied an accepted edit.
 func (r *run) watchEdit(ctx context.Context, name string, offset, acceptedMs int64) {
 	ed := judge.Edit{Name: name, AcceptedMs: acceptedMs}
-	for nowMs()-acceptedMs < watchBound.Milliseconds() && ctx.Err() == nil {
+	for nowMs()-acceptedMs < watchTimeout.Milliseconds() && ctx.Err() == nil {
 		if r.inForce(offset) {
-			ed.ForceMs = nowMs()
+			ed.InForceMs = nowMs()
 			break
 		}
-		time.Sleep(watchEvery)
+		time.Sleep(watchInterval)
 	}
-	r.note(func(e *judge.Evidence) { e.Edits = append(e.Edits, ed) })
+	r.record(func(hist *judge.History) { hist.Edits = append(hist.Edits, ed) })
 }
 
-// inForce reports whether every host that would act on its configuration has
-// read up to the offset. A host that is not ready refuses work.
+// inForce reports whether every ready entry host has applied the configuration
+// log through the offset. Other entry hosts refuse requests.
 func (r *run) inForce(offset int64) bool {
 	for _, s := range r.c.slots {
 		if h := s.current(); h != nil && h.Ready() == nil && h.Dump().CellNext <= offset {
@@ -321,9 +325,9 @@
 	return true
 }
 
-// watchConfig notes when a host's configuration goes back.
+// watchConfig records regressions of the entry hosts' configuration.
 func (r *run) watchConfig(ctx context.Context) {
-	newest := map[*slot]int64{}
+	newest := map[*hostSlot]int64{}
 	for ctx.Err() == nil {
 		for i, s := range r.c.slots {
 			h := s.current()
@@ -332,15 +336,15 @@
 			}
 			next := h.Dump().CellNext
 			if next < newest[s] {
-				r.note(func(e *judge.Evidence) {
-					e.Reverted = append(e.Reverted, fmt.Sprintf("entry host %d went back from offset %d to %d", i, newest[s], next))
+				r.record(func(hist *judge.History) {
+					hist.Reverted = append(hist.Reverted, fmt.Sprintf("entry host %d went back from configuration offset %d to %d", i, newest[s], next))
 				})
 			}
 			newest[s] = next
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(watchEvery):
+		case <-time.After(watchInterval):
 		}
 	}
 }
--- a/internal/tool/judge/judge.go
+++ b/internal/tool/judge/judge.go
@@ -1,11 +1,11 @@
-// Package judge decides whether the promises were kept, from what workers,
-// executors and callers recorded. It never looks at the scheduler's own books.
+// Package judge checks the scheduler's guarantees against what workers,
+// executors and callers recorded. It does not read the scheduler's own state.
 //
 // # Usage
 //
-//	verdicts := judge.All(evidence)
+//	verdicts := judge.CheckAll(history)
 //	for _, v := range verdicts {
-//		fmt.Println(v.Promise, v.Held(), v.Evidence)
+//		fmt.Println(v.Guarantee, v.Held(), v.Violations)
 //	}
 package judge
 
@@ -20,173 +20,174 @@
 	"lagooncourse/internal/plat/worker"
 )
 
-// graceMs is what "within seconds" means for keys, availability zones, targets
-// and configuration, in milliseconds.
+// graceMs is the time that a change of a key, an availability zone, a target or
+// the configuration may take to have its effect, in milliseconds.
 const graceMs = 4000
 
-// Submitted is a job that an entry host accepted.
-type Submitted struct {
+// SubmittedJob is a job that an entry host accepted.
+type SubmittedJob struct {
 	ID         jobs.ID
 	Team       string
 	Kind       jobs.Kind
 	Idempotent bool
 	SentMs     int64 // when the caller sent it
 	AcceptedMs int64
-	Final      jobs.State // as the system said at the end
+	Final      jobs.State // last state that the API reported
 }
 
-// Called is a call that a caller sent.
-type Called struct {
+// CallRecord is a call that a caller sent and its outcome.
+type CallRecord struct {
 	ID         string
 	Team       string
 	Idempotent bool
 	SentMs     int64
 	EndMs      int64
-	Ran        fault.Outcome // as the caller was told
+	Ran        fault.Outcome // as reported to the caller
 	Code       fault.Code    // of the error, if any
-	Whole      bool          // the answer was complete and belonged to the call
-	Host       int           // entry host that took it
+	Complete   bool          // the response is complete and belongs to the call
+	Host       int           // index of the entry host that received it
 }
 
-// Span is a time during which something was so, in milliseconds since 1970. A
-// zero EndMs means until the end.
-type Span struct {
+// Interval is a named period, in milliseconds since 1970. A zero EndMs means the
+// end of the run.
+type Interval struct {
 	Name    string
 	StartMs int64
 	EndMs   int64
 }
 
-// Edit is an accepted edit with when it was in force on the last entry host.
+// Edit is an accepted configuration edit and the time at which every ready entry
+// host had applied it.
 type Edit struct {
 	Name       string
 	AcceptedMs int64
-	ForceMs    int64 // 0 if it never was
+	InForceMs  int64 // 0 if some entry host never applied it
 }
 
-// Evidence is all that was recorded.
-type Evidence struct {
+// History is everything that was recorded in a run.
+type History struct {
 	EndMs      int64
 	Runs       []fakes.Run
 	Executions []fakes.Execution
-	Jobs       []Submitted
-	Calls      []Called
-	Capacity   map[string]jobs.Size // worker -> what it has
+	Jobs       []SubmittedJob
+	Calls      []CallRecord
+	Capacity   map[string]jobs.Size // worker -> capacity
 	Limits     map[string]jobs.Size // team -> upper limit
-	Withdrawn  []Span               // teams whose only key was withdrawn
-	AzOut      []Span
-	Leaving    []Span // targets
-	Stops      []Span // planned stops of entry hosts, named by number
+	Withdrawn  []Interval           // teams whose only key was withdrawn
+	AzOut      []Interval
+	Leaving    []Interval // targets
+	Stops      []Interval // planned stops of entry hosts, named by host number
 	Edits      []Edit
-	Reverted   []string // observations of a configuration that went back
+	Reverted   []string // observed regressions of the configuration
 	SlotPeak   int
 	Slots      int
 }
 
-// Verdict says whether one promise was kept.
+// Verdict is the result of checking one guarantee.
 type Verdict struct {
-	Promise  string   `json:"promise"`
-	Checked  int      `json:"checked"` // facts that could have broken it
-	Evidence []string `json:"evidence,omitempty"`
+	Guarantee  string   `json:"promise"`
+	Checked    int      `json:"checked"` // records that could have violated it
+	Violations []string `json:"evidence,omitempty"`
 }
 
-// Held reports whether the promise was kept.
-func (v Verdict) Held() bool { return len(v.Evidence) == 0 }
+// Held reports whether no violation was found.
+func (v Verdict) Held() bool { return len(v.Violations) == 0 }
 
-// maxEvidence bounds what is kept of a broken promise.
-const maxEvidence = 5
+// maxViolations limits the violations that are kept for each guarantee.
+const maxViolations = 5
 
-func (v *Verdict) broken(format string, args ...any) {
-	if len(v.Evidence) < maxEvidence {
-		v.Evidence = append(v.Evidence, fmt.Sprintf(format, args...))
+func (v *Verdict) addViolation(format string, args ...any) {
+	if len(v.Violations) < maxViolations {
+		v.Violations = append(v.Violations, fmt.Sprintf(format, args...))
 	}
 }
 
-// All judges every promise.
-func All(e Evidence) []Verdict {
+// CheckAll checks every guarantee.
+func CheckAll(h History) []Verdict {
 	checks := []struct {
-		promise string
-		check   func(*Evidence, *Verdict)
+		guarantee string
+		check     func(*History, *Verdict)
 	}{
-		{"No host is ever overcommitted", overcommit},
-		{"No task runs in two places", twoPlaces},
-		{"A withdrawn key stops working within seconds", withdrawn},
-		{"No team has more running than its upper limit", limits},
-		{"No task starts in an availability zone that is out", azOut},
-		{"Every caller receives the whole answer to its own request", wholeAnswers},
-		{"A refusal saying \"not run\" is true", refusals},
-		{"A non-idempotent request runs at most once", atMostOnce},
-		{"A leaving target gets no new work after a few seconds", leaving},
-		{"Every planned stop cuts off no request", stops},
-		{"An accepted configuration is in force within seconds and never reverts", edits},
-		{"Every accepted job ends once, or is parked and said to be", jobsEnd},
+		{"No host is ever overcommitted", checkOvercommit},
+		{"No task runs in two places", checkSinglePlace},
+		{"A withdrawn key stops working within seconds", checkWithdrawnKeys},
+		{"No team has more running than its upper limit", checkTeamLimits},
+		{"No task starts in an availability zone that is out", checkAzOut},
+		{"Every caller receives the whole answer to its own request", checkAnswers},
+		{"A refusal saying \"not run\" is true", checkRefusals},
+		{"A non-idempotent request runs at most once", checkAtMostOnce},
+		{"A leaving target gets no new work after a few seconds", checkLeavingTargets},
+		{"Every planned stop cuts off no request", checkPlannedStops},
+		{"An accepted configuration is in force within seconds and never reverts", checkEdits},
+		{"Every accepted job ends once, or is parked and said to be", checkFinalStates},
 	}
 	var list []Verdict
 	for _, c := range checks {
-		v := Verdict{Promise: c.promise}
-		c.check(&e, &v)
+		v := Verdict{Guarantee: c.guarantee}
+		c.check(&h, &v)
 		list = append(list, v)
 	}
 	return list
 }
 
-func (e *Evidence) endOf(r fakes.Run) int64 {
+func (h *History) endOf(r fakes.Run) int64 {
 	if r.EndMs == 0 {
-		return e.EndMs
+		return h.EndMs
 	}
 	return r.EndMs
 }
 
-// edge is a change of what runs at an instant.
-type edge struct {
+// usageChange is a change of the resources in use at a point in time.
+type usageChange struct {
 	atMs int64
 	size jobs.Size
 }
 
-// peak walks through the runs in time and reports the first instant at which
-// their sum exceeds the bound.
-func (e *Evidence) peak(runs []fakes.Run, bound jobs.Size) (atMs int64, sum jobs.Size, over bool) {
-	var edges []edge
+// firstExcess returns the first time at which the resources of concurrent runs
+// exceed the limit.
+func (h *History) firstExcess(runs []fakes.Run, limit jobs.Size) (atMs int64, sum jobs.Size, over bool) {
+	var changes []usageChange
 	for _, r := range runs {
 		size := jobs.Size{CPU: r.CPU, Mem: r.Mem, Accel: r.Accel}
-		edges = append(edges, edge{r.StartMs, size}, edge{e.endOf(r), jobs.Size{}.Minus(size)})
+		changes = append(changes, usageChange{r.StartMs, size}, usageChange{h.endOf(r), jobs.Size{}.Minus(size)})
 	}
-	sort.SliceStable(edges, func(i, j int) bool {
-		if edges[i].atMs != edges[j].atMs {
-			return edges[i].atMs < edges[j].atMs
+	sort.SliceStable(changes, func(i, j int) bool {
+		if changes[i].atMs != changes[j].atMs {
+			return changes[i].atMs < changes[j].atMs
 		}
-		return edges[i].size.CPU < edges[j].size.CPU // ends before starts of the same millisecond
+		return changes[i].size.CPU < changes[j].size.CPU // ends before starts of the same millisecond
 	})
-	for _, ed := range edges {
-		sum = sum.Plus(ed.size)
-		if !sum.Fits(bound) {
-			return ed.atMs, sum, true
+	for _, c := range changes {
+		sum = sum.Plus(c.size)
+		if !sum.Fits(limit) {
+			return c.atMs, sum, true
 		}
 	}
 	return 0, sum, false
 }
 
-func overcommit(e *Evidence, v *Verdict) {
+func checkOvercommit(h *History, v *Verdict) {
 	byWorker := map[string][]fakes.Run{}
-	for _, r := range e.Runs {
+	for _, r := range h.Runs {
 		byWorker[r.Worker] = append(byWorker[r.Worker], r)
 	}
 	for w, runs := range byWorker {
 		v.Checked += len(runs)
-		if at, sum, over := e.peak(runs, e.Capacity[w]); over {
-			v.broken("worker %s ran %s at %d", w, sum, at)
+		if at, sum, over := h.firstExcess(runs, h.Capacity[w]); over {
+			v.addViolation("worker %s ran %s at %d", w, sum, at)
 		}
 	}
-	if e.SlotPeak > e.Slots {
-		v.broken("an executor with %d slots ran %d calls", e.Slots, e.SlotPeak)
+	if h.SlotPeak > h.Slots {
+		v.addViolation("an executor with %d slots ran %d calls", h.Slots, h.SlotPeak)
 	}
 }
 
-func twoPlaces(e *Evidence, v *Verdict) {
+func checkSinglePlace(h *History, v *Verdict) {
 	byTask := map[string][]fakes.Run{}
-	for _, r := range e.Runs {
+	for _, r := range h.Runs {
 		for _, o := range byTask[r.Task] {
-			if r.StartMs < e.endOf(o) && o.StartMs < e.endOf(r) {
-				v.broken("task %s ran on %s (attempt %d) and %s (attempt %d) at once", r.Task, o.Worker, o.Attempt, r.Worker, r.Attempt)
+			if r.StartMs < h.endOf(o) && o.StartMs < h.endOf(r) {
+				v.addViolation("task %s ran on %s (attempt %d) and %s (attempt %d) at once", r.Task, o.Worker, o.Attempt, r.Worker, r.Attempt)
 			}
 		}
 		byTask[r.Task] = append(byTask[r.Task], r)
@@ -194,127 +195,127 @@
 	}
 }
 
-func withdrawn(e *Evidence, v *Verdict) {
-	for _, s := range e.Withdrawn {
+func checkWithdrawnKeys(h *History, v *Verdict) {
+	for _, s := range h.Withdrawn {
 		after := s.StartMs + graceMs
-		for _, j := range e.Jobs {
+		for _, j := range h.Jobs {
 			if j.Team == s.Name && j.SentMs > after {
-				v.broken("job %s was accepted %d ms after the key was withdrawn", j.ID, j.SentMs-s.StartMs)
+				v.addViolation("job %s was accepted %d ms after the key was withdrawn", j.ID, j.SentMs-s.StartMs)
 			}
 		}
-		for _, c := range e.Calls {
+		for _, c := range h.Calls {
 			if c.Team != s.Name || c.SentMs <= after {
 				continue
 			}
 			v.Checked++
 			if c.Ran != fault.NotRun {
-				v.broken("call %s, sent %d ms after the key was withdrawn, ended as %q", c.ID, c.SentMs-s.StartMs, c.Ran)
+				v.addViolation("call %s, sent %d ms after the key was withdrawn, ended as %q", c.ID, c.SentMs-s.StartMs, c.Ran)
 			}
 		}
 	}
 }
 
 // teamRuns returns the runs of each team's jobs.
-func (e *Evidence) teamRuns() map[string][]fakes.Run {
+func (h *History) teamRuns() map[string][]fakes.Run {
 	team := map[string]string{}
-	for _, j := range e.Jobs {
+	for _, j := range h.Jobs {
 		team[string(j.ID)] = j.Team
 	}
 	byTeam := map[string][]fakes.Run{}
-	for _, r := range e.Runs {
+	for _, r := range h.Runs {
 		id, _, _ := strings.Cut(r.Task, "/")
 		byTeam[team[id]] = append(byTeam[team[id]], r)
 	}
 	return byTeam
 }
 
-func limits(e *Evidence, v *Verdict) {
-	byTeam := e.teamRuns()
-	for team, limit := range e.Limits {
+func checkTeamLimits(h *History, v *Verdict) {
+	byTeam := h.teamRuns()
+	for team, limit := range h.Limits {
 		v.Checked += len(byTeam[team])
-		if at, sum, over := e.peak(byTeam[team], limit); over {
-			v.broken("team %s ran %s at %d, above its limit of %s", team, sum, at, limit)
+		if at, sum, over := h.firstExcess(byTeam[team], limit); over {
+			v.addViolation("team %s ran %s at %d, above its limit of %s", team, sum, at, limit)
 		}
 	}
 }
 
-func azOut(e *Evidence, v *Verdict) {
-	for _, s := range e.AzOut {
-		for _, r := range e.Runs {
+func checkAzOut(h *History, v *Verdict) {
+	for _, s := range h.AzOut {
+		for _, r := range h.Runs {
 			if r.StartMs <= s.StartMs+graceMs || s.EndMs > 0 && r.StartMs >= s.EndMs {
 				continue
 			}
 			v.Checked++
 			if r.Az == s.Name {
-				v.broken("task %s started in %s %d ms after it was taken out", r.Task, s.Name, r.StartMs-s.StartMs)
+				v.addViolation("task %s started in %s %d ms after it was taken out", r.Task, s.Name, r.StartMs-s.StartMs)
 			}
 		}
 	}
 }
 
-func wholeAnswers(e *Evidence, v *Verdict) {
-	for _, c := range e.Calls {
+func checkAnswers(h *History, v *Verdict) {
+	for _, c := range h.Calls {
 		if c.Ran != fault.Done {
 			continue
 		}
 		v.Checked++
-		if !c.Whole {
-			v.broken("call %s got an answer that is not whole or not its own", c.ID)
+		if !c.Complete {
+			v.addViolation("call %s got an answer that is not whole or not its own", c.ID)
 		}
 	}
 }
 
-// ran counts the executions of each call, all its tries together.
-func (e *Evidence) ran() map[string]int {
+// executionsByCall counts the executions of each call over all its attempts.
+func (h *History) executionsByCall() map[string]int {
 	n := map[string]int{}
-	for _, x := range e.Executions {
+	for _, x := range h.Executions {
 		id, _, _ := strings.Cut(x.ID, "~")
 		n[id]++
 	}
 	return n
 }
 
-func refusals(e *Evidence, v *Verdict) {
-	ran := e.ran()
-	for _, c := range e.Calls {
+func checkRefusals(h *History, v *Verdict) {
+	executionsByCall := h.executionsByCall()
+	for _, c := range h.Calls {
 		if c.Ran != fault.NotRun {
 			continue
 		}
 		v.Checked++
-		if ran[c.ID] > 0 {
-			v.broken("call %s was refused as not run, and ran", c.ID)
+		if executionsByCall[c.ID] > 0 {
+			v.addViolation("call %s was refused as not run, and ran", c.ID)
 		}
 	}
 }
 
-func atMostOnce(e *Evidence, v *Verdict) {
-	ran := e.ran()
-	for _, c := range e.Calls {
+func checkAtMostOnce(h *History, v *Verdict) {
+	executionsByCall := h.executionsByCall()
+	for _, c := range h.Calls {
 		if c.Idempotent {
 			continue
 		}
 		v.Checked++
-		if ran[c.ID] > 1 {
-			v.broken("call %s ran %d times", c.ID, ran[c.ID])
+		if executionsByCall[c.ID] > 1 {
+			v.addViolation("call %s ran %d times", c.ID, executionsByCall[c.ID])
 		}
 	}
 	byTask := map[string][]fakes.Run{}
-	for _, r := range e.Runs {
+	for _, r := range h.Runs {
 		byTask[r.Task] = append(byTask[r.Task], r)
 	}
-	for _, j := range e.Jobs {
+	for _, j := range h.Jobs {
 		if j.Idempotent {
 			continue
 		}
-		for _, r := range withPrefix(byTask, j.ID) {
+		for _, r := range runsOfTasks(byTask, j.ID) {
 			v.Checked++
 			checkResumed(v, r)
 		}
 	}
 }
 
-// withPrefix returns the runs of each task of a job.
-func withPrefix(byTask map[string][]fakes.Run, id jobs.ID) [][]fakes.Run {
+// runsOfTasks returns the runs of each task of a job.
+func runsOfTasks(byTask map[string][]fakes.Run, id jobs.ID) [][]fakes.Run {
 	var list [][]fakes.Run
 	for i := 0; ; i++ {
 		runs, ok := byTask[jobs.Ref{Job: id, Index: i}.String()]
@@ -325,77 +326,78 @@
 	}
 }
 
-// checkResumed checks that a task that may run once only was continued from a
-// checkpoint at every further attempt.
+// checkResumed checks that every later attempt of a non-idempotent task resumed
+// from a checkpoint.
 func checkResumed(v *Verdict, runs []fakes.Run) {
 	sort.Slice(runs, func(i, j int) bool { return runs[i].StartMs < runs[j].StartMs })
 	for i := 1; i < len(runs); i++ {
 		if runs[i-1].End != worker.EndCheckpointed {
-			v.broken("task %s ran again after attempt %d had ended as %q", runs[i].Task, runs[i-1].Attempt, runs[i-1].End)
+			v.addViolation("task %s ran again after attempt %d had ended as %q", runs[i].Task, runs[i-1].Attempt, runs[i-1].End)
 		}
 	}
 }
 
-func leaving(e *Evidence, v *Verdict) {
-	for _, s := range e.Leaving {
-		for _, x := range e.Executions {
+func checkLeavingTargets(h *History, v *Verdict) {
+	for _, s := range h.Leaving {
+		for _, x := range h.Executions {
 			if x.Target != s.Name {
 				continue
 			}
 			v.Checked++
 			if x.StartMs > s.StartMs+graceMs && (s.EndMs == 0 || x.StartMs < s.EndMs) {
-				v.broken("target %s got a call %d ms after it began to leave", s.Name, x.StartMs-s.StartMs)
+				v.addViolation("target %s got a call %d ms after it began to leave", s.Name, x.StartMs-s.StartMs)
 			}
 		}
 	}
 }
 
-// stops looks for calls that were in flight at a host while it stopped by plan
-// and whose outcome their caller never learned because the connection broke.
-func stops(e *Evidence, v *Verdict) {
-	for _, s := range e.Stops {
-		for _, c := range e.Calls {
+// checkPlannedStops reports calls that were in flight at an entry host during its
+// planned stop and that ended with an unknown outcome because the connection
+// broke.
+func checkPlannedStops(h *History, v *Verdict) {
+	for _, s := range h.Stops {
+		for _, c := range h.Calls {
 			if fmt.Sprint(c.Host) != s.Name || c.SentMs > s.EndMs || c.EndMs < s.StartMs {
 				continue
 			}
 			v.Checked++
 			if c.Ran == fault.Unknown && c.Code == fault.Unavailable {
-				v.broken("call %s was cut off while entry host %s stopped", c.ID, s.Name)
+				v.addViolation("call %s was cut off while entry host %s stopped", c.ID, s.Name)
 			}
 		}
 	}
 }
 
-func edits(e *Evidence, v *Verdict) {
-	for _, ed := range e.Edits {
+func checkEdits(h *History, v *Verdict) {
+	for _, ed := range h.Edits {
 		v.Checked++
-		if ed.ForceMs == 0 || ed.ForceMs-ed.AcceptedMs > graceMs {
-			v.broken("edit %s was in force everywhere %d ms after it was accepted", ed.Name, ed.ForceMs-ed.AcceptedMs)
+		if ed.InForceMs == 0 || ed.InForceMs-ed.AcceptedMs > graceMs {
+			v.addViolation("edit %s was in force everywhere %d ms after it was accepted", ed.Name, ed.InForceMs-ed.AcceptedMs)
 		}
 	}
-	for _, r := range e.Reverted {
-		v.broken("%s", r)
+	for _, r := range h.Reverted {
+		v.addViolation("%s", r)
 	}
 }
 
-func jobsEnd(e *Evidence, v *Verdict) {
+func checkFinalStates(h *History, v *Verdict) {
 	ended := map[string]int{}
-	for _, r := range e.Runs {
+	for _, r := range h.Runs {
 		if r.End == worker.EndOK {
 			ended[r.Task]++
 		}
 	}
-	for _, j := range e.Jobs {
+	for _, j := range h.Jobs {
 		v.Checked++
 		if j.Kind == jobs.Service {
 			continue
 		}
 		if j.Final == jobs.Waiting || j.Final == jobs.Placed || j.Final == "" {
-			v.broken("job %s is still %q", j.ID, j.Final)
+			v.addViolation("job %s is still %q", j.ID, j.Final)
 		}
 		first := jobs.Ref{Job: j.ID}.String()
 		if n := ended[first]; n > 1 && !j.Idempotent || j.Final == jobs.Done && n == 0 {
-			v.broken("task %s of a job that is %q finished %d times", first, j.Final, n)
+			v.addViolation("task %s of a job that is %q finished %d times", first, j.Final, n)
 		}
 	}
 }
--- a/internal/tool/scene/scene.go
+++ b/internal/tool/scene/scene.go
@@ -1,9 +1,9 @@
-// Package scene defines scenario files: a cell, its teams, the work that
-// arrives, and the faults that strike while it runs.
+// Package scene defines scenario files: a cell, its teams, the jobs and calls
+// that arrive, and the faults to inject.
 //
 // # Usage
 //
-//	s, err := scene.Load("faults.ini") // a file, or the name of a shipped one
+//	s, err := scene.Load("faults.ini") // a path, or the name of an embedded scenario
 package scene
 
 import (
@@ -24,8 +24,8 @@
 //go:embed files/*.ini
 var files embed.FS
 
-// Scene is one scenario.
-type Scene struct {
+// Scenario is the content of a scenario file.
+type Scenario struct {
 	Cell   Cell    `ini:"cell"`
 	Teams  []Team  `ini:"team"`
 	Work   []Work  `ini:"work"`
@@ -33,7 +33,7 @@
 	Faults []Fault `ini:"fault"`
 }
 
-// Cell describes the platform and the entry hosts.
+// Cell describes the simulated platform and the entry hosts.
 type Cell struct {
 	Name       string        `ini:"name" required:"true" doc:"name of the deployment"`
 	Seed       int64         `ini:"seed" def:"1" min:"0" max:"1000000000" doc:"seed of the arrivals"`
@@ -55,21 +55,21 @@
 	Appends    int           `ini:"appendsPerSecond" def:"300" min:"1" max:"100000" doc:"the log's budget"`
 }
 
-// Team describes a team and its plan.
+// Team describes a team's share and CPU limit.
 type Team struct {
 	Name  string  `ini:"#id"`
 	Share int64   `ini:"share" def:"1" min:"1" max:"1000000" doc:"weight when the fleet is full"`
 	CPU   float64 `ini:"cpu" def:"1000000" min:"0.001" max:"100000000" doc:"upper limit in cores"`
 }
 
-// Work describes jobs that arrive at random times.
+// Work describes a stream of jobs with random arrival times.
 type Work struct {
 	Name       string        `ini:"#id"`
 	Team       string        `ini:"team" required:"true" doc:"team that submits"`
 	Kind       string        `ini:"kind" def:"batch" oneof:"urgent,service,gang,batch" doc:"class"`
 	Every      time.Duration `ini:"every" required:"true" min:"1ms" max:"1h" doc:"mean time between two jobs"`
-	From       time.Duration `ini:"from" def:"0s" min:"0s" max:"1h" doc:"when the arrivals begin"`
-	Most       int           `ini:"most" def:"100000" min:"1" max:"1000000" doc:"largest number of jobs"`
+	StartAfter time.Duration `ini:"from" def:"0s" min:"0s" max:"1h" doc:"when the arrivals begin"`
+	MaxJobs    int           `ini:"most" def:"100000" min:"1" max:"1000000" doc:"largest number of jobs"`
 	Tasks      int           `ini:"tasks" def:"1" min:"1" max:"1000" doc:"tasks of a job"`
 	CPU        float64       `ini:"cpu" def:"1" min:"0.001" max:"1000" doc:"cores of a task"`
 	Mem        int64         `ini:"memoryMiB" def:"1024" min:"0" max:"16777216" doc:"memory of a task"`
@@ -78,7 +78,7 @@
 	Idempotent bool          `ini:"idempotent" def:"false" doc:"a task may run again if it may have run"`
 }
 
-// Calls describes calls to the service that arrive at random times.
+// Calls describes a stream of calls to the service with random arrival times.
 type Calls struct {
 	Name       string        `ini:"#id"`
 	Team       string        `ini:"team" required:"true" doc:"team that calls"`
@@ -87,7 +87,7 @@
 	Timeout    time.Duration `ini:"timeout" def:"5s" min:"1ms" max:"10m" doc:"for one call"`
 }
 
-// The kinds of fault.
+// Values of Fault.Kind.
 const (
 	LogOut      = "logOut"
 	LogBack     = "logBack"
@@ -103,60 +103,59 @@
 	MendWorker  = "mendWorker"
 	AzOut       = "azOut"
 	AzBack      = "azBack"
-	Withdraw    = "withdrawKey"
-	CancelAll   = "cancelWave"
+	WithdrawKey = "withdrawKey"
+	CancelWork  = "cancelWave"
 	LeaveTarget = "leaveTarget"
 	CrossAnswer = "crossAnswers"
 	CutAnswer   = "cutAnswers"
 	MendTarget  = "mendTarget"
 )
 
-// Fault is something that happens at an instant.
+// Fault is a fault, a repair or an operator's action at a given time of the run.
 type Fault struct {
-	Name string        `ini:"#id"`
-	At   time.Duration `ini:"at" required:"true" min:"0s" max:"1h" doc:"when it happens"`
-	Kind string        `ini:"kind" required:"true" oneof:"logOut,logBack,logSlow,loseAnswers,killHost,startHost,stopHost,cutHost,mendHost,badWorker,loseWorker,mendWorker,azOut,azBack,withdrawKey,cancelWave,leaveTarget,crossAnswers,cutAnswers,mendTarget" doc:"what happens"`
-	Of   string        `ini:"of" doc:"host number, worker, target, availability zone, team or work that it happens to"`
-	N    int           `ini:"n" def:"1" min:"1" max:"1000000" doc:"how many answers, or milliseconds"`
+	Name    string        `ini:"#id"`
+	At      time.Duration `ini:"at" required:"true" min:"0s" max:"1h" doc:"when it happens"`
+	Kind    string        `ini:"kind" required:"true" oneof:"logOut,logBack,logSlow,loseAnswers,killHost,startHost,stopHost,cutHost,mendHost,badWorker,loseWorker,mendWorker,azOut,azBack,withdrawKey,cancelWave,leaveTarget,crossAnswers,cutAnswers,mendTarget" doc:"what happens"`
+	Subject string        `ini:"of" doc:"host number, worker, target, availability zone, team or work that it happens to"`
+	Count   int           `ini:"n" def:"1" min:"1" max:"1000000" doc:"how many answers, or milliseconds"`
 }
 
-var _ conf.Checker = Scene{}
+var _ conf.Checker = Scenario{}
 
-// Check returns the errors that span several keys.
-func (s Scene) Check() error {
+// Check validates the references between sections and the job of each Work.
+func (s Scenario) Check() error {
 	var errs []error
-	bad := func(section, key, value, want string) {
+	addError := func(section, key, value, want string) {
 		errs = append(errs, &conf.Error{Section: section, Key: key, Value: value, Want: want})
 	}
 	var teams []string
 	for _, t := range s.Teams {
 		teams = append(teams, t.Name)
 	}
-	known := "must name a team: " + strings.Join(teams, ", ")
+	wantTeam := "must name a team: " + strings.Join(teams, ", ")
 	for _, w := range s.Work {
 		if !slices.Contains(teams, w.Team) {
-			bad("work "+w.Name, "team", w.Team, known)
+			addError("work "+w.Name, "team", w.Team, wantTeam)
 		}
 		if err := w.Spec(w.RunFor.Milliseconds()).WithDefaults().Check(); err != nil {
 			e := fault.From(err)
-			bad("work "+w.Name, e.Field, e.Value, e.Detail)
+			addError("work "+w.Name, e.Field, e.Value, e.Detail)
 		}
 	}
 	for _, c := range s.Calls {
 		if !slices.Contains(teams, c.Team) {
-			bad("calls "+c.Name, "team", c.Team, known)
+			addError("calls "+c.Name, "team", c.Team, wantTeam)
 		}
 	}
 	for _, f := range s.Faults {
-		if f.Kind == AzOut && !slices.Contains(s.Cell.Azs, f.Of) {
-			bad("fault "+f.Name, "of", f.Of, "must name an availability zone: "+strings.Join(s.Cell.Azs, ", "))
+		if f.Kind == AzOut && !slices.Contains(s.Cell.Azs, f.Subject) {
+			addError("fault "+f.Name, "of", f.Subject, "must name an availability zone: "+strings.Join(s.Cell.Azs, ", "))
 		}
 	}
 	return errors.Join(errs...)
 }
 
-// Spec returns the spec of one job of the work, with the given run time in
-// milliseconds.
+// Spec returns the spec of one job with the given run time in milliseconds.
 func (w Work) Spec(runMs int64) jobs.Spec {
 	return jobs.Spec{
 		Name: w.Name, Kind: jobs.Kind(w.Kind), Tasks: w.Tasks,
@@ -165,8 +164,9 @@
 	}
 }
 
-// Load reads a scenario file, or a shipped scenario by its name.
-func Load(path string) (s Scene, err error) {
+// Load reads a scenario from a file or, if the file does not exist, from the
+// embedded scenarios by name.
+func Load(path string) (s Scenario, err error) {
 	defer fault.Note(&err, "scenario %q", path)
 	data, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -175,14 +175,14 @@
 	if err != nil {
 		return s, fmt.Errorf("neither a file nor one of the shipped scenarios %s: %w", strings.Join(Shipped(), ", "), err)
 	}
-	return conf.Parse[Scene](data)
+	return conf.Parse[Scenario](data)
 }
 
-// Shipped lists the names of the shipped scenarios.
+// Shipped returns the names of the embedded scenarios.
 func Shipped() []string {
 	entries, err := files.ReadDir("files")
 	if err != nil {
-		panic(err) // the files are part of the program
+		panic(err) // the directory is embedded in the binary
 	}
 	var names []string
 	for _, e := range entries {
--- a/internal/tool/scene/scene_test.go
+++ b/internal/tool/scene/scene_test.go
@@ -9,7 +9,8 @@
 	"lagooncourse/internal/base/conf"
 )
 
-// TestShipped checks that every shipped scenario is valid, by name and by file.
+// TestShipped checks that every embedded scenario is valid and loads the same by
+// name and by path.
 func TestShipped(t *testing.T) {
 	assert.DeepEqual(t, Shipped(), []string{"faults", "freshwater", "hanbit"})
 	for _, name := range Shipped() {
@@ -24,7 +25,7 @@
 	assert.ErrorContains(t, err, "shipped scenarios faults, freshwater, hanbit")
 }
 
-// TestCheck checks the rules that span several keys.
+// TestCheck checks the errors for invalid references, jobs and fault kinds.
 func TestCheck(t *testing.T) {
 	const cell = "[cell]\nname = x\nazs = a, b\n[team lab]\n"
 	for _, tc := range []struct{ text, want string }{
@@ -34,7 +35,7 @@
 		{"[fault f]\nat = 1s\nkind = azOut\nof = c\n", `section [fault f], key "of", value "c": must name an availability zone: a, b`},
 		{"[fault f]\nat = 1s\nkind = meteor\n", `section [fault f], key "kind", value "meteor": must be one of`},
 	} {
-		_, err := conf.Parse[Scene]([]byte(cell + tc.text))
+		_, err := conf.Parse[Scenario]([]byte(cell + tc.text))
 		assert.Assert(t, err != nil && strings.Contains(err.Error(), tc.want), "got %v, want %q", err, tc.want)
 	}
 }
