--- a/cmd/lagooncourse/cluster_test.go
+++ b/cmd/lagooncourse/cluster_test.go
@@ -24,8 +24,8 @@
 	"lagooncourse/internal/tool/cmds"
 )
 
-// roleEnv makes the test binary act as the program, so that every role runs as
-// a process of its own, built with the same flags as the tests.
+// roleEnv makes the test binary run as lagooncourse, so that every role is a
+// separate process built with the same flags as the tests.
 const roleEnv = "LAGOONCOURSE_TEST_ROLE"
 
 func TestMain(m *testing.M) {
@@ -35,8 +35,8 @@
 	os.Exit(m.Run())
 }
 
-// pollBound is how long a process test waits for something that has to happen.
-const pollBound = 60 * time.Second
+// pollTimeout limits the wait for a condition.
+const pollTimeout = 60 * time.Second
 
 // cluster is a cell of separate processes on the loopback address.
 type cluster struct {
@@ -47,10 +47,10 @@
 	execs string
 	hosts []*hostProc
 	procs []*exec.Cmd
-	relay *relay // between the first entry host and the log
+	proxy *proxy // between the first entry host and the log
 }
 
-// hostProc is one entry host's process.
+// hostProc is an entry host process.
 type hostProc struct {
 	id, api, peer, path string
 	cmd                 *exec.Cmd
@@ -68,8 +68,8 @@
 
 var azs = []string{"a", "b", "c"}
 
-// The ports of the roles lie below the range from which the system picks ports
-// for listeners and connections, so none is taken between its choice and use.
+// The ports of the roles lie below the system's ephemeral port range, so that no
+// other listener or connection takes a port between its selection and its use.
 const (
 	firstPort = 10_000
 	portRange = 20_000
@@ -77,7 +77,7 @@
 
 var nextPort = os.Getpid() * 97 % portRange
 
-// freeAddr picks a free loopback port.
+// freeAddr returns a loopback address with a free port.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	for range portRange {
@@ -105,9 +105,9 @@
 	if cfg.lease == "" {
 		cfg.lease = "2s"
 	}
-	c.standin("log", fmt.Sprintf("[log]\nlisten = %s\nretention = %s\n", logAddr, cfg.retention))
-	c.standin("worker", fmt.Sprintf("[workers]\nlisten = %s\nazs = a, b, c\ncount = %d\nrackSize = 4\n", fleetAddr, cfg.workers))
-	c.standin("executor", fmt.Sprintf(
+	c.startStandin("log", fmt.Sprintf("[log]\nlisten = %s\nretention = %s\n", logAddr, cfg.retention))
+	c.startStandin("worker", fmt.Sprintf("[workers]\nlisten = %s\nazs = a, b, c\ncount = %d\nrackSize = 4\n", fleetAddr, cfg.workers))
+	c.startStandin("executor", fmt.Sprintf(
 		"[executors]\nlisten = %s\nservice = triage\nazs = a, b, c\ncount = %d\nwork = %dms\n", execAddr, cfg.executors, cfg.workMs))
 	var peers []string
 	for i := range cfg.hosts {
@@ -115,21 +115,21 @@
 		c.hosts = append(c.hosts, h)
 		peers = append(peers, h.peer)
 	}
-	c.relay = startRelay(t, logAddr)
+	c.proxy = startProxy(t, logAddr)
 	for i, h := range c.hosts {
 		log := c.log
 		if i == 0 {
-			log = "http://" + c.relay.ln.Addr().String()
+			log = "http://" + c.proxy.ln.Addr().String()
 		}
 		c.writeHost(h, azs[i%len(azs)], log, cfg.lease, peers)
 		c.startHost(h)
 	}
-	c.until("every entry host is ready", c.ready)
+	c.waitFor("every entry host is ready", c.ready)
 	return c
 }
 
 func (c *cluster) writeHost(h *hostProc, az, log, lease string, peers []string) {
-	h.path = c.write(h.id+".ini", fmt.Sprintf(`[host]
+	h.path = c.writeFile(h.id+".ini", fmt.Sprintf(`[host]
 id = %s
 az = %s
 listen = %s
@@ -148,20 +148,20 @@
 `, h.id, az, h.api, h.peer, strings.Join(peers, ", "), log, c.fleet, c.execs, lease))
 }
 
-func (c *cluster) write(name, text string) string {
+func (c *cluster) writeFile(name, text string) string {
 	path := filepath.Join(c.dir, name)
 	assert.NilError(c.t, os.WriteFile(path, []byte(text), 0o600))
 	return path
 }
 
-func (c *cluster) standin(kind, settings string) {
-	c.run("standin", kind, "--config", c.write(kind+".ini", settings))
+func (c *cluster) startStandin(kind, settings string) {
+	c.run("standin", kind, "--config", c.writeFile(kind+".ini", settings))
 }
 
 func (c *cluster) startHost(h *hostProc) { h.cmd = c.run("entry", "--config", h.path) }
 
-// run starts one role as a process. Its output goes to the test's directory
-// and is shown if the test fails.
+// run starts one role as a process. Its output goes to a file in the test's
+// directory.
 func (c *cluster) run(args ...string) *exec.Cmd {
 	out, err := os.CreateTemp(c.dir, strings.Join(args[:2], "-")+"-*.out")
 	assert.NilError(c.t, err)
@@ -173,8 +173,8 @@
 	return cmd
 }
 
-// stop ends every process that the test started and shows the output of a
-// failed test.
+// stop kills every process that the test started and logs their output if the
+// test failed.
 func (c *cluster) stop() {
 	for _, p := range c.procs {
 		_ = p.Process.Kill()
@@ -186,21 +186,21 @@
 	outs, _ := filepath.Glob(filepath.Join(c.dir, "*.out"))
 	for _, path := range outs {
 		data, _ := os.ReadFile(path)
-		c.t.Logf("%s:\n%s", filepath.Base(path), tail(data))
+		c.t.Logf("%s:\n%s", filepath.Base(path), lastBytes(data))
 	}
 }
 
-const tailBytes = 3000
+const maxOutputBytes = 3000
 
-func tail(data []byte) []byte { return data[max(0, len(data)-tailBytes):] }
+func lastBytes(data []byte) []byte { return data[max(0, len(data)-maxOutputBytes):] }
 
-// until polls a condition up to pollBound.
-func (c *cluster) until(what string, ok func() bool) {
+// waitFor polls a condition until it holds or pollTimeout passes.
+func (c *cluster) waitFor(what string, ok func() bool) {
 	c.t.Helper()
-	deadline := time.Now().Add(pollBound)
+	deadline := time.Now().Add(pollTimeout)
 	for !ok() {
 		if time.Now().After(deadline) {
-			c.t.Fatalf("not so within %s: %s", pollBound, what)
+			c.t.Fatalf("condition not met within %s: %s", pollTimeout, what)
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
@@ -222,7 +222,7 @@
 	return err == nil
 }
 
-// client returns a client that uses all entry hosts in turn.
+// client returns a client that uses the entry hosts round-robin.
 func (c *cluster) client(key string) *caller.Client {
 	var api []string
 	for _, h := range c.hosts {
@@ -231,8 +231,8 @@
 	return caller.New(caller.Config{API: api, Key: key, MaxAttempts: 200})
 }
 
-// team creates a plan with a key for everything and returns the key.
-func (c *cluster) team(name string, limit jobs.Size) string {
+// createTeam creates a team with access to everything and returns its key.
+func (c *cluster) createTeam(name string, limit jobs.Size) string {
 	c.t.Helper()
 	ctx := context.Background()
 	op := c.client("")
@@ -245,7 +245,7 @@
 		assert.NilError(c.t, err)
 	}
 	key := name + "-key.secret"
-	c.until("every entry host knows the key", func() bool {
+	c.waitFor("every entry host accepts the key", func() bool {
 		for _, h := range c.hosts {
 			cl := caller.New(caller.Config{API: []string{"http://" + h.api}, Key: key})
 			if _, err := cl.List(ctx, jobs.Waiting); err != nil {
@@ -257,15 +257,16 @@
 	return key
 }
 
-// set throws a switch of a stand-in.
-func (c *cluster) set(url string, sw any) {
+// setSwitch sets the fault injection switches of a stand-in.
+func (c *cluster) setSwitch(url string, sw any) {
 	c.t.Helper()
 	_, err := httpd.Exchange[json.RawMessage](context.Background(), http.MethodPost, url+"/switch", sw)
 	assert.NilError(c.t, err)
 }
 
-// owned counts the groups that the hosts with the given indexes own.
-func (c *cluster) owned(indexes ...int) int {
+// ownedGroups returns the number of groups owned by the entry hosts with the given
+// indexes.
+func (c *cluster) ownedGroups(indexes ...int) int {
 	n := 0
 	for _, i := range indexes {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
--- a/cmd/lagooncourse/main.go
+++ b/cmd/lagooncourse/main.go
@@ -1,6 +1,6 @@
-// Command lagooncourse is a cluster scheduler: the daemon of its entry hosts,
-// the tools of its operators and callers, and small stand-ins for the platform
-// that it runs on.
+// Command lagooncourse is a cluster scheduler. It contains the daemon of the entry
+// hosts, the commands for operators and callers, and stand-ins for the services of
+// the platform, for tests and demonstrations.
 //
 // # Usage
 //
--- a/cmd/lagooncourse/path_test.go
+++ b/cmd/lagooncourse/path_test.go
@@ -18,21 +18,22 @@
 	"lagooncourse/internal/tool/caller"
 )
 
-var roomy = jobs.Size{CPU: 10_000_000, Mem: jobs.Unlimited, Accel: jobs.Unlimited}
+var largeLimit = jobs.Size{CPU: 10_000_000, Mem: jobs.Unlimited, Accel: jobs.Unlimited}
 
-func small(name string, runMs int64) jobs.Spec {
+func smallJob(name string, runMs int64) jobs.Spec {
 	return jobs.Spec{Name: name, Kind: jobs.Batch, Tasks: 1, Size: jobs.Size{CPU: 1000, Mem: 1024}, RunMs: runMs}
 }
 
-// TestPath serves one job and one call from end to end.
+// TestPath runs one job and one call end to end. A repeated call returns the first
+// response without a second execution.
 func TestPath(t *testing.T) {
 	c := startCluster(t, clusterConfig{hosts: 3, workers: 12, executors: 6, workMs: 5})
-	key := c.team("lab", roomy)
+	key := c.createTeam("lab", largeLimit)
 	ctx := context.Background()
 	cl := c.client(key)
-	j, err := cl.Submit(ctx, small("survey", 100))
+	j, err := cl.Submit(ctx, smallJob("survey", 100))
 	assert.NilError(t, err)
-	done, err := cl.Wait(ctx, j.ID, pollBound)
+	done, err := cl.Wait(ctx, j.ID, pollTimeout)
 	assert.NilError(t, err)
 	assert.Equal(t, done.State, jobs.Done)
 	assert.Equal(t, done.Tasks[0].Result, "done "+string(j.ID)+"/0")
@@ -45,15 +46,16 @@
 	assert.Equal(t, len(c.executions()), 1)
 }
 
-// TestKeys refuses work without a valid key, and truthfully.
+// TestKeys checks that jobs and calls without a valid key are refused and that
+// none of them runs.
 func TestKeys(t *testing.T) {
 	c := startCluster(t, clusterConfig{hosts: 2, workers: 4, executors: 2, workMs: 1})
-	c.team("lab", roomy)
+	c.createTeam("lab", largeLimit)
 	for _, tc := range []struct {
 		key  string
 		code fault.Code
 	}{{"", fault.NoKey}, {"lab-key.wrong", fault.NoKey}, {"nobody.secret", fault.NoKey}} {
-		_, err := c.client(tc.key).Submit(context.Background(), small("survey", 10))
+		_, err := c.client(tc.key).Submit(context.Background(), smallJob("survey", 10))
 		assert.Assert(t, fault.Is(err, tc.code), "key %q: %v", tc.key, err)
 		assert.Equal(t, fault.RanOf(err), fault.NotRun)
 		_, err = c.client(tc.key).Call(context.Background(), caller.Call{Service: "triage", ID: "x"})
@@ -62,32 +64,32 @@
 	assert.Equal(t, len(c.runs())+len(c.executions()), 0)
 }
 
-// workload submits jobs and calls until it is told to stop, and remembers what
-// it was told.
+// workload submits jobs and sends calls until it is stopped, and records the
+// accepted jobs and the outcomes of the calls.
 type workload struct {
 	key   string
 	mu    sync.Mutex
 	jobs  []jobs.ID
-	calls map[string]error // id -> outcome of a call that is not idempotent
+	calls map[string]error // call ID -> error of a non-idempotent call
 	stop  chan struct{}
 	wg    sync.WaitGroup
 }
 
-// startLoaded starts three entry hosts with a workload. A call takes workMs at
-// its executor.
+// startLoaded starts three entry hosts with a workload. A call takes workMs on its
+// executor.
 func startLoaded(t *testing.T, workMs int) (*cluster, *workload) {
 	t.Helper()
 	c := startCluster(t, clusterConfig{hosts: 3, workers: 12, executors: 6, workMs: workMs})
-	return c, startWorkload(c, c.team("lab", roomy))
+	return c, startWorkload(c, c.createTeam("lab", largeLimit))
 }
 
-// startWorkload starts a submitter and several callers.
+// startWorkload starts one goroutine that submits jobs and four that send calls.
 func startWorkload(c *cluster, key string) *workload {
 	w := &workload{key: key, calls: map[string]error{}, stop: make(chan struct{})}
 	w.loop(func(i int) {
-		spec := small("survey", 300).WithSubmission(fmt.Sprintf("s%d", i))
+		spec := smallJob("survey", 300).WithSubmission(fmt.Sprintf("s%d", i))
 		spec.Idempotent = i%2 == 0
-		ctx, cancel := context.WithTimeout(context.Background(), pollBound)
+		ctx, cancel := context.WithTimeout(context.Background(), pollTimeout)
 		defer cancel()
 		if j, err := c.client(key).Submit(ctx, spec); err == nil {
 			w.mu.Lock()
@@ -102,7 +104,7 @@
 			defer cancel()
 			a, err := c.client(key).Call(ctx, caller.Call{Service: "triage", ID: id, Body: []byte(id), Timeout: 5 * time.Second})
 			if err == nil && !echoes(a.Body, id) {
-				err = errors.New("answer belongs to another call: " + string(a.Body))
+				err = errors.New("response belongs to another call: " + string(a.Body))
 			}
 			w.mu.Lock()
 			w.calls[id] = err
@@ -134,22 +136,23 @@
 	}()
 }
 
-// pass waits until so many more calls have ended, with whatever outcome.
-func (w *workload) pass(c *cluster, calls int) {
+// waitForCalls waits until the given number of further calls have ended, with any
+// outcome.
+func (w *workload) waitForCalls(c *cluster, calls int) {
 	c.t.Helper()
-	target := w.count() + calls
-	c.until(fmt.Sprintf("%d more calls end", calls), func() bool { return w.count() >= target })
+	target := w.endedCalls() + calls
+	c.waitFor(fmt.Sprintf("%d more calls end", calls), func() bool { return w.endedCalls() >= target })
 }
 
-func (w *workload) count() int {
+func (w *workload) endedCalls() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return len(w.calls)
 }
 
-// finish stops the workload and checks every promise on what workers and
-// executors recorded.
-func (w *workload) finish(c *cluster) {
+// stopAndCheck stops the workload and checks the guarantees against the records of
+// workers and executors.
+func (w *workload) stopAndCheck(c *cluster) {
 	c.t.Helper()
 	close(w.stop)
 	w.wg.Wait()
@@ -162,8 +165,8 @@
 	assert.Assert(c.t, len(w.jobs) > 0, "the workload submitted nothing")
 	parked := 0
 	for _, id := range w.jobs {
-		ctx, cancel := context.WithTimeout(context.Background(), pollBound)
-		c.until("job "+string(id)+" ends or is parked", func() bool {
+		ctx, cancel := context.WithTimeout(context.Background(), pollTimeout)
+		c.waitFor("job "+string(id)+" ends or is parked", func() bool {
 			a, err := c.client(w.key).Status(ctx, id)
 			if err == nil && a.State == jobs.Parked {
 				parked++
@@ -184,13 +187,12 @@
 			c.t.Errorf("job %s finished %d times", id, n)
 		}
 	}
-	checkPlaces(c)
+	checkNoOverlap(c)
 	c.t.Logf("%d jobs, %d parked, %d calls", len(w.jobs), parked, len(w.calls))
 }
 
-// checkPlaces checks that no task ran in two places at once and no worker was
-// overcommitted.
-func checkPlaces(c *cluster) {
+// checkNoOverlap checks that no task ran in two places at once.
+func checkNoOverlap(c *cluster) {
 	c.t.Helper()
 	byTask := map[string][]fakes.Run{}
 	for _, r := range c.runs() {
@@ -239,7 +241,7 @@
 	c.t.Logf("calls by outcome: %v", outcomes)
 }
 
-// callOf removes the number of the try from an executor's request id.
+// callOf removes the attempt number from an executor's request ID.
 func callOf(id string) string {
 	if n := len(id); n > 2 && id[n-2] == '~' {
 		return id[:n-2]
@@ -247,74 +249,73 @@
 	return id
 }
 
-// TestKilledHosts kills every entry host in turn, each one under load, and
-// starts it again.
+// TestKilledHosts kills and restarts each entry host in turn under load.
 func TestKilledHosts(t *testing.T) {
 	c, w := startLoaded(t, 5)
 	for _, h := range c.hosts {
-		w.pass(c, 100)
+		w.waitForCalls(c, 100)
 		h.signal(t, syscall.SIGKILL)
 		_ = h.cmd.Wait()
-		w.pass(c, 20)
+		w.waitForCalls(c, 20)
 		c.startHost(h)
-		c.until("the new process is ready", h.ready)
+		c.waitFor("the new process is ready", h.ready)
 	}
-	w.finish(c)
+	w.stopAndCheck(c)
 }
 
-// TestFrozenHost freezes an entry host until others have taken its groups, and
-// lets it go on.
+// TestFrozenHost suspends an entry host under load until the others have taken
+// over its groups, then resumes it.
 func TestFrozenHost(t *testing.T) {
 	c, w := startLoaded(t, 5)
-	w.pass(c, 100)
+	w.waitForCalls(c, 100)
 	c.hosts[0].signal(t, syscall.SIGSTOP)
-	c.until("the other hosts own all groups", func() bool { return c.owned(1, 2) == len(azs) })
-	w.pass(c, 100)
+	c.waitFor("the other hosts own all groups", func() bool { return c.ownedGroups(1, 2) == len(azs) })
+	w.waitForCalls(c, 100)
 	c.hosts[0].signal(t, syscall.SIGCONT)
-	w.pass(c, 100)
-	w.finish(c)
+	w.waitForCalls(c, 100)
+	w.stopAndCheck(c)
 }
 
-// TestLogOutage takes the log away under load, with an entry host dying in the
-// middle of the outage.
+// TestLogOutage makes the log unavailable under load and kills an entry host
+// during the outage.
 func TestLogOutage(t *testing.T) {
 	c, w := startLoaded(t, 5)
-	w.pass(c, 100)
-	c.set(c.log, fakes.LogSwitch{Outage: true})
-	w.pass(c, 4)
+	w.waitForCalls(c, 100)
+	c.setSwitch(c.log, fakes.LogSwitch{Outage: true})
+	w.waitForCalls(c, 4)
 	c.hosts[1].signal(t, syscall.SIGKILL)
 	_ = c.hosts[1].cmd.Wait()
-	w.pass(c, 4)
-	c.set(c.log, fakes.LogSwitch{})
+	w.waitForCalls(c, 4)
+	c.setSwitch(c.log, fakes.LogSwitch{})
 	c.startHost(c.hosts[1])
-	c.until("every entry host is ready", c.ready)
-	w.pass(c, 100)
-	w.finish(c)
+	c.waitFor("every entry host is ready", c.ready)
+	w.waitForCalls(c, 100)
+	w.stopAndCheck(c)
 }
 
-// TestLostAnswers has the log lose the answers of appends that took effect,
-// and lose appends altogether.
+// TestLostAnswers makes the log drop the responses to appends that took effect,
+// and drop other appends entirely.
 func TestLostAnswers(t *testing.T) {
 	c, w := startLoaded(t, 5)
 	for range 5 {
-		w.pass(c, 50)
-		c.set(c.log, fakes.LogSwitch{LoseAnswers: 5, DropAppends: 3})
+		w.waitForCalls(c, 50)
+		c.setSwitch(c.log, fakes.LogSwitch{LoseAnswers: 5, DropAppends: 3})
 	}
-	w.finish(c)
+	w.stopAndCheck(c)
 }
 
-// TestGracefulStop replaces every entry host in turn under load. No call may
-// be cut off by it.
+// TestGracefulStop stops each entry host gracefully in turn under load and
+// restarts it. No call may end with an unknown outcome.
 func TestGracefulStop(t *testing.T) {
 	c, w := startLoaded(t, 20)
 	for _, h := range c.hosts {
-		w.pass(c, 50)
+		w.waitForCalls(c, 50)
 		h.signal(t, syscall.SIGTERM)
 		assert.NilError(t, h.cmd.Wait())
 		c.startHost(h)
-		c.until("the new process is ready", h.ready)
+		c.waitFor("the new process is ready", h.ready)
 	}
-	w.finish(c)
+	w.stopAndCheck(c)
 	for id, err := range w.calls {
 		if err != nil && fault.RanOf(err) == fault.Unknown {
 			t.Errorf("call %s was cut off: %v", id, err)
@@ -322,59 +323,59 @@
 	}
 }
 
-// TestCutFromLog cuts one entry host's connections to the log while it owns
-// groups, until the others have taken them, and mends them.
+// TestCutFromLog partitions an entry host that owns groups from the log until the
+// others have taken over its groups, then heals the partition.
 func TestCutFromLog(t *testing.T) {
 	c, w := startLoaded(t, 5)
-	w.pass(c, 100)
-	c.relay.set(true)
-	c.until("the other hosts own all groups", func() bool { return c.owned(1, 2) == len(azs) })
-	w.pass(c, 100)
-	c.relay.set(false)
-	c.until("the first host owns a group again", func() bool { return c.owned(0) > 0 })
-	w.pass(c, 100)
-	w.finish(c)
+	w.waitForCalls(c, 100)
+	c.proxy.setPartition(true)
+	c.waitFor("the other hosts own all groups", func() bool { return c.ownedGroups(1, 2) == len(azs) })
+	w.waitForCalls(c, 100)
+	c.proxy.setPartition(false)
+	c.waitFor("the first host owns a group again", func() bool { return c.ownedGroups(0) > 0 })
+	w.waitForCalls(c, 100)
+	w.stopAndCheck(c)
 }
 
-// TestFreezeAndKill freezes one entry host and kills another while the log
-// loses answers, so that one host is left, and then brings both back.
+// TestFreezeAndKill suspends one entry host and kills another while the log loses
+// responses and appends, so that one entry host is left, then brings both back.
 func TestFreezeAndKill(t *testing.T) {
 	c, w := startLoaded(t, 5)
-	w.pass(c, 100)
-	c.set(c.log, fakes.LogSwitch{LoseAnswers: 10, DropAppends: 5})
+	w.waitForCalls(c, 100)
+	c.setSwitch(c.log, fakes.LogSwitch{LoseAnswers: 10, DropAppends: 5})
 	c.hosts[0].signal(t, syscall.SIGSTOP)
 	c.hosts[1].signal(t, syscall.SIGKILL)
 	_ = c.hosts[1].cmd.Wait()
-	c.until("the last host owns all groups", func() bool { return c.owned(2) == len(azs) })
-	w.pass(c, 20)
+	c.waitFor("the last host owns all groups", func() bool { return c.ownedGroups(2) == len(azs) })
+	w.waitForCalls(c, 20)
 	c.startHost(c.hosts[1])
 	c.hosts[0].signal(t, syscall.SIGCONT)
-	c.until("every entry host is ready", c.ready)
-	w.pass(c, 100)
-	w.finish(c)
+	c.waitFor("every entry host is ready", c.ready)
+	w.waitForCalls(c, 100)
+	w.stopAndCheck(c)
 }
 
-// TestFrozenKeeper freezes an entry host for longer than the leases of the
-// workers that it keeps, while tasks run on them that outlast the freeze. When
-// it wakes it has heard nothing from its workers for longer than any lease, and
-// must not take that for their loss: their new keeper has renewed them.
+// TestFrozenKeeper suspends an entry host for longer than the leases of the
+// workers that it renews, while their tasks keep running. After it resumes, its
+// last renewals are older than any lease. It must not declare the workers lost,
+// because another entry host has renewed their leases meanwhile.
 func TestFrozenKeeper(t *testing.T) {
 	c := startCluster(t, clusterConfig{hosts: 3, workers: 12, executors: 6, workMs: 5, lease: "5s"})
-	key := c.team("lab", roomy)
+	key := c.createTeam("lab", largeLimit)
 	w := &workload{key: key, calls: map[string]error{}}
 	for i := range 24 {
-		spec := small("survey", 20_000).WithSubmission(fmt.Sprintf("s%d", i))
+		spec := smallJob("survey", 20_000).WithSubmission(fmt.Sprintf("s%d", i))
 		spec.Idempotent = true
-		spec.Az = azs[0] // so that most homes are on other hosts than the keeper
+		spec.Az = azs[0] // so that most jobs belong to groups of other entry hosts than the one that renews the workers
 		j, err := c.client(key).Submit(context.Background(), spec)
 		assert.NilError(t, err)
 		w.jobs = append(w.jobs, j.ID)
 	}
-	c.until("all tasks run", func() bool { return len(c.runs()) >= len(w.jobs) })
+	c.waitFor("all tasks run", func() bool { return len(c.runs()) >= len(w.jobs) })
 	frozen := time.Now()
 	c.hosts[0].signal(t, syscall.SIGSTOP)
-	c.until("the other hosts own all groups", func() bool { return c.owned(1, 2) == len(azs) })
-	c.until("every lease that the frozen host gave has run out", func() bool { return time.Since(frozen) > 10*time.Second })
+	c.waitFor("the other hosts own all groups", func() bool { return c.ownedGroups(1, 2) == len(azs) })
+	c.waitFor("every lease that the suspended entry host granted has expired", func() bool { return time.Since(frozen) > 10*time.Second })
 	c.hosts[0].signal(t, syscall.SIGCONT)
 	w.checkJobs(c)
 	assert.Equal(t, len(c.runs()), len(w.jobs), "a task ran again")
--- a/cmd/lagooncourse/relay_test.go
+++ b/cmd/lagooncourse/relay_test.go
@@ -9,89 +9,91 @@
 	"gotest.tools/v3/assert"
 )
 
-// relay carries TCP connections to an address until they are cut.
-type relay struct {
+// proxy forwards TCP connections to an address. It can simulate a network
+// partition.
+type proxy struct {
 	ln   net.Listener
 	dest string
 
-	mu    sync.Mutex
-	cut   bool
-	conns map[net.Conn]bool
+	mu          sync.Mutex
+	partitioned bool
+	conns       map[net.Conn]bool
 }
 
-// startRelay starts a relay to dest that ends with the test.
-func startRelay(t *testing.T, dest string) *relay {
+// startProxy starts a proxy to dest that stops at the end of the test.
+func startProxy(t *testing.T, dest string) *proxy {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	r := &relay{ln: ln, dest: dest, conns: map[net.Conn]bool{}}
+	p := &proxy{ln: ln, dest: dest, conns: map[net.Conn]bool{}}
 	t.Cleanup(func() {
 		ln.Close()
-		r.set(true)
+		p.setPartition(true)
 	})
-	go r.accept()
-	return r
+	go p.accept()
+	return p
 }
 
-func (r *relay) accept() {
+func (p *proxy) accept() {
 	for {
-		c, err := r.ln.Accept()
+		c, err := p.ln.Accept()
 		if err != nil {
 			return
 		}
-		go r.carry(c)
+		go p.forward(c)
 	}
 }
 
-func (r *relay) carry(c net.Conn) {
-	d, err := net.Dial("tcp", r.dest)
-	if err != nil || !r.add(c, d) {
+func (p *proxy) forward(c net.Conn) {
+	d, err := net.Dial("tcp", p.dest)
+	if err != nil || !p.add(c, d) {
 		c.Close()
 		return
 	}
 	go func() {
 		_, _ = io.Copy(d, c)
-		r.drop(c, d)
+		p.drop(c, d)
 	}()
 	_, _ = io.Copy(c, d)
-	r.drop(c, d)
+	p.drop(c, d)
 }
 
-func (r *relay) add(conns ...net.Conn) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+func (p *proxy) add(conns ...net.Conn) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	for _, c := range conns {
-		r.conns[c] = true
+		p.conns[c] = true
 	}
-	if r.cut {
-		r.closeAll()
+	if p.partitioned {
+		p.closeAll()
 	}
-	return !r.cut
+	return !p.partitioned
 }
 
-func (r *relay) drop(conns ...net.Conn) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+func (p *proxy) drop(conns ...net.Conn) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	for _, c := range conns {
 		c.Close()
-		delete(r.conns, c)
+		delete(p.conns, c)
 	}
 }
 
-// set cuts every connection and refuses new ones, or lets them through again.
-func (r *relay) set(cut bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.cut = cut
-	if cut {
-		r.closeAll()
+// setPartition closes every connection and rejects new ones, or accepts new ones
+// again.
+func (p *proxy) setPartition(partitioned bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.partitioned = partitioned
+	if partitioned {
+		p.closeAll()
 	}
 }
 
-// closeAll closes every connection; the caller holds the lock.
-func (r *relay) closeAll() {
-	for c := range r.conns {
+// closeAll closes every connection. The caller must hold mu.
+func (p *proxy) closeAll() {
+	for c := range p.conns {
 		c.Close()
-		delete(r.conns, c)
+		delete(p.conns, c)
 	}
 }
