--- a/internal/tool/demo/report.go
+++ b/internal/tool/demo/report.go
@@ -109,13 +109,13 @@
 	significantDigits = 3
 )
 
-func quantiles(of string, values []int64) Quantiles {
+func quantiles(class string, values []int64) Quantiles {
 	h := hdrhistogram.New(1, maxRecordedMs, significantDigits)
 	for _, v := range values {
 		_ = h.RecordValue(min(max(v, 1), maxRecordedMs))
 	}
 	return Quantiles{
-		Class: of, Count: h.TotalCount(), P50: h.ValueAtQuantile(50), P99: h.ValueAtQuantile(99),
+		Class: class, Count: h.TotalCount(), P50: h.ValueAtQuantile(50), P99: h.ValueAtQuantile(99),
 		P999: h.ValueAtQuantile(99.9), Max: h.Max(),
 	}
 }
