--- a/internal/tool/gauge/gauge_test.go
+++ b/internal/tool/gauge/gauge_test.go
@@ -47,8 +47,8 @@
 	assert.Equal(t, Slope{Base: -5, PerX: 1}.At(2), 0.0)
 }
 
-// TestLinesNeedSlopes checks that Estimates panics if a slope is missing.
-func TestLinesNeedSlopes(t *testing.T) {
+// TestEstimatesNeedSlopes checks that Estimates panics if a slope is missing.
+func TestEstimatesNeedSlopes(t *testing.T) {
 	defer func() { assert.Assert(t, recover() != nil) }()
 	Estimates(nil)
 }
