--- a/internal/node/wire/wire.go
+++ b/internal/node/wire/wire.go
@@ -5,7 +5,7 @@
 // # Usage
 //
 //	frame.Handle(srv, wire.Reserve, host.reserve)
-//	slot, err := frame.Call(ctx, pool, addr, wire.Reserve, wire.ReserveMsg{Group: g, Asks: asks})
+//	answer, err := frame.Call(ctx, pool, addr, wire.Reserve, wire.ReserveMsg{Group: g, Asks: asks})
 package wire
 
 import (
@@ -50,7 +50,7 @@
 	ID         string
 	Boot       int64  // incarnation: higher after each restart of the host
 	Seq        uint64 // counter within the incarnation
-	Version    uint64 // of the member's description
+	Version    uint64 // of the newest description of the member that the sender has
 	ConfigNext int64  // next offset that the member will read from the configuration stream
 	LogAgeMs   int64  // time since the member last read the end of the configuration stream from the log
 }
@@ -67,7 +67,7 @@
 	API     string `json:"api"`  // base URL for callers
 	Az      string `json:"az"`
 	Boot    int64  `json:"boot"`    // incarnation: higher after each restart of the host
-	Version uint64 `json:"version"` // of this description within the incarnation
+	Version uint64 `json:"version"` // of this description; higher after each change within the incarnation
 	Leaving bool   `json:"leaving"` // the host is shutting down
 	Groups  []Duty `json:"groups"`
 	Pools   []Pool `json:"pools"` // pools that this member serves
@@ -83,22 +83,22 @@
 	Group    string               `json:"group"`
 	Epoch    uint64               `json:"epoch"`
 	Az       string               `json:"az"`
-	Capacity jobs.Size            `json:"capacity"`
-	Free     jobs.Size            `json:"free"`
-	Largest  jobs.Size            `json:"largest"` // largest free capacity of a single worker
-	Used     map[string]jobs.Size `json:"used"`    // team -> size of the placed tasks of the group's own jobs
-	Wanting  []string             `json:"wanting"` // teams that need a larger part of their limit in this group
-	Waiting  map[string]jobs.Size `json:"waiting"` // team -> size of the queued work
+	Capacity jobs.Size            `json:"capacity"` // of all workers that are not leaving
+	Free     jobs.Size            `json:"free"`     // of all schedulable workers
+	Largest  jobs.Size            `json:"largest"`  // per dimension, the largest free capacity of any worker
+	Used     map[string]jobs.Size `json:"used"`     // team -> size of the placed tasks of the group's own jobs
+	Wanting  []string             `json:"wanting"`  // teams that request a larger grant in this group
+	Waiting  map[string]jobs.Size `json:"waiting"`  // team -> size of the queued work
 }
 
-// Pool describes the targets of one service in one group.
+// Pool is the reported load of the pool of one service's targets in one group.
 type Pool struct {
 	Group   string `json:"group"`
 	Az      string `json:"az"`
 	Service string `json:"service"`
-	Slots   int    `json:"slots"` // of the targets that accept calls
-	Busy    int    `json:"busy"`
-	Queued  int    `json:"queued"`
+	Slots   int    `json:"slots"`  // of the available targets
+	Busy    int    `json:"busy"`   // slots in use
+	Queued  int    `json:"queued"` // queued calls
 }
 
 // ReadConfigMsg requests configuration records from a peer, starting at offset From.
@@ -144,14 +144,16 @@
 	Action jobs.Action
 }
 
-// ReserveMsg requests reservations from a group's owner, for all asks or for none.
+// ReserveMsg requests reservations from a group's owner. It reserves for all of Asks or
+// for none. The owner sets UntilMs of each to its own time plus TTLMs.
 type ReserveMsg struct {
 	Group string
 	Asks  []books.Ask
 	TTLMs int64 // lifetime of the reservation
 }
 
-// ReserveAnswer carries a slot for each ask, or none.
+// ReserveAnswer carries the worker reserved for each of Asks, in their order. If the
+// owner can't reserve for all of them, the response is an error.
 type ReserveAnswer struct {
 	Slots []books.Slot
 }
@@ -160,12 +162,12 @@
 type StartMsg struct {
 	Group      string
 	Attempt    books.Attempt
-	Home       string
+	Home       string // group that owns the job
 	Spec       jobs.Spec
-	Checkpoint string
+	Checkpoint string // checkpoint to continue from, or empty
 }
 
-// StartAnswer reports whether the attempt runs.
+// StartAnswer reports the state of the attempt after the request.
 type StartAnswer struct {
 	Place books.Place
 }
@@ -174,7 +176,7 @@
 type StopMsg struct {
 	Group      string
 	Attempt    books.Attempt
-	Checkpoint bool
+	Checkpoint bool // let the task write a checkpoint before it stops
 }
 
 // WhereMsg queries the state of attempts.
@@ -183,11 +185,11 @@
 	Queries []books.Query
 }
 
-// WhereAnswer answers the queries of a WhereMsg in their order.
+// WhereAnswer is the response to a WhereMsg.
 type WhereAnswer struct {
-	Epoch   uint64 // of the answering owner's group
-	Places  []books.Place
-	Reports []books.Report
+	Epoch   uint64         // epoch of the owner that answered
+	Places  []books.Place  // state for each query, in their order
+	Reports []books.Report // for each query; has the details if the state is books.Ended
 }
 
 // ReportMsg reports to the owner of a job's group how attempts ended.
@@ -196,7 +198,7 @@
 	Reports []books.Report
 }
 
-// ReportAnswer lists the attempts whose end is recorded.
+// ReportAnswer lists the attempts whose reports the sender need not repeat.
 type ReportAnswer struct {
 	Recorded []books.Attempt
 }
@@ -221,9 +223,9 @@
 // ListMsg requests the jobs of a group.
 type ListMsg struct {
 	Group string
-	Team  string // empty for all
-	State jobs.State
-	Max   int
+	Team  string     // empty for all
+	State jobs.State // empty for all
+	Max   int        // maximum number of jobs
 }
 
 // ListAnswer carries jobs without their payloads.
