--- a/internal/node/peers/peers.go
+++ b/internal/node/peers/peers.go
@@ -5,14 +5,14 @@
 // determines when to attempt a takeover and where to send a request. A wrong
 // decision is harmless because of the epochs in the log and the fencing tokens at
 // the workers. At every interval each host increments its own heartbeat and
-// exchanges tables with one random peer, so the number of messages per host does
-// not depend on the number of hosts.
+// exchanges messages with one random live member and, in some rounds, one suspected
+// member, so the number of messages per host does not depend on the number of hosts.
 //
-// Heartbeats change at every interval and are kept apart from the member
-// descriptions. An exchange carries all heartbeats, but only those descriptions
-// that the other side lacks. A description changes at most once per
-// MinDescriptionInterval, unless the groups, the number of pools or the leaving flag of
-// its host change.
+// Heartbeats change at every interval and are separate from the member descriptions.
+// A request carries the heartbeats of all live members. The response carries the
+// newer heartbeats and the descriptions that the sender lacks. A description changes
+// at most once per MinDescriptionInterval, unless the groups, the number of pools or
+// the leaving flag of its host change.
 //
 // # Usage
 //
@@ -37,8 +37,8 @@
 // Config describes a Table.
 type Config struct {
 	Self                   wire.Member
-	SuspectAfter           time.Duration // time without a new heartbeat after which a member counts as dead
-	ForgetAfter            time.Duration // time without a new heartbeat after which a member is removed
+	SuspectAfter           time.Duration // time without a new heartbeat after which a member is suspected (not alive)
+	ForgetAfter            time.Duration // time without a new heartbeat after which a member is removed; Owner still returns it
 	MinDescriptionInterval time.Duration // minimum interval between two descriptions when only the load changes
 }
 
@@ -49,7 +49,7 @@
 	mu          sync.Mutex
 	self        wire.Member
 	heartbeat   wire.Heartbeat
-	describedAt time.Time
+	describedAt time.Time               // when self was last changed
 	members     map[string]*memberState // by id, without self
 	owners      map[string]Owner        // by group
 }
@@ -68,20 +68,21 @@
 	Addr  string
 	Epoch uint64
 
-	claimReadAt time.Time // when the claim was read from the log; zero if the owner announced itself
+	claimReadAt time.Time // when RecordClaim recorded the claim; zero once the owner has announced the group
 }
 
-// Peer is a live member with its newest heartbeat. LogAge includes the time since
-// the heartbeat was received.
+// Peer is a live member, possibly the local host, with data of its newest heartbeat.
+// For other hosts LogAge includes the time since the heartbeat was received.
 type Peer struct {
 	wire.Member
 	ConfigNext int64         `json:"cellNext"` // next offset that it will read from the configuration stream
 	LogAge     time.Duration `json:"logAgeNs"` // time since it last read the end of the configuration stream from the log
 }
 
-// LocalState is the state of the local host that a heartbeat carries.
+// LocalState is the state of the local host that AdvanceHeartbeat writes to its
+// heartbeat and its description.
 type LocalState struct {
-	Member     wire.Member   // ID, Az, Boot, Version and the addresses are ignored
+	Member     wire.Member   // only Groups, Pools and Leaving are used
 	ConfigNext int64         // next offset to read from the configuration stream
 	LogAge     time.Duration // time since this host last read the end of the configuration stream from the log
 }
@@ -89,19 +90,19 @@
 // NewTable returns a table that contains only the local host.
 func NewTable(cfg Config) *Table {
 	t := &Table{cfg: cfg, self: cfg.Self, members: map[string]*memberState{}, owners: map[string]Owner{}}
-	t.self.Version = 1 // 0 means that no description was received
+	t.self.Version = 1 // 0 means that no description has been received
 	t.heartbeat = wire.Heartbeat{ID: cfg.Self.ID, Boot: cfg.Self.Boot, Version: t.self.Version}
 	return t
 }
 
 // AdvanceHeartbeat increments the local heartbeat, updates the local description and
 // removes members without a new heartbeat for longer than ForgetAfter.
-func (t *Table) AdvanceHeartbeat(r LocalState, now time.Time) {
+func (t *Table) AdvanceHeartbeat(state LocalState, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.heartbeat.Seq++
-	t.heartbeat.ConfigNext, t.heartbeat.LogAgeMs = r.ConfigNext, r.LogAge.Milliseconds()
-	t.updateDescription(r.Member, now)
+	t.heartbeat.ConfigNext, t.heartbeat.LogAgeMs = state.ConfigNext, state.LogAge.Milliseconds()
+	t.updateDescription(state.Member, now)
 	for id, s := range t.members {
 		if now.Sub(s.receivedAt) > t.cfg.ForgetAfter {
 			delete(t.members, id)
@@ -109,13 +110,14 @@
 	}
 }
 
-// updateDescription replaces the description of the local host if an update is due. The
-// caller must hold t.mu.
+// updateDescription replaces the description of the local host if its groups, their
+// epochs, the number of pools or the leaving flag have changed, or if anything has
+// changed and MinDescriptionInterval has passed. The caller must hold t.mu.
 func (t *Table) updateDescription(m wire.Member, now time.Time) {
 	m.ID, m.Addr, m.API, m.Az = t.self.ID, t.self.Addr, t.self.API, t.self.Az
 	m.Boot, m.Version = t.self.Boot, t.self.Version
-	due := now.Sub(t.describedAt) >= t.cfg.MinDescriptionInterval && !reflect.DeepEqual(m, t.self)
-	if !due && m.Leaving == t.self.Leaving && sameEpochs(m.Groups, t.self.Groups) && len(m.Pools) == len(t.self.Pools) {
+	loadDue := now.Sub(t.describedAt) >= t.cfg.MinDescriptionInterval && !reflect.DeepEqual(m, t.self)
+	if !loadDue && m.Leaving == t.self.Leaving && sameEpochs(m.Groups, t.self.Groups) && len(m.Pools) == len(t.self.Pools) {
 		return
 	}
 	m.Version++
@@ -148,9 +150,10 @@
 	return t.self
 }
 
-// Message returns the message for the peer at addr: all heartbeats, and the local
-// description if the peer is not in the table. A peer in the table receives it in
-// response to its own messages, whose versions show which descriptions it lacks.
+// Message returns the message for the peer at addr: the heartbeats of all live members,
+// and the local description if the peer is not in the table. A peer in the table
+// receives descriptions in the responses to its own messages, whose versions show which
+// descriptions it lacks.
 func (t *Table) Message(addr string, now time.Time) wire.GossipMsg {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -172,21 +175,21 @@
 	return wire.GossipMsg{Heartbeats: []wire.Heartbeat{t.heartbeat}, Members: []wire.Member{t.self}}
 }
 
-// liveHeartbeats returns the heartbeats of the live members. Those of dead members are left
+// liveHeartbeats returns the heartbeats of the live members. Those of suspected members are left
 // out, because otherwise they would circulate forever. The caller must hold t.mu.
 func (t *Table) liveHeartbeats(now time.Time) []wire.Heartbeat {
 	beats := []wire.Heartbeat{t.heartbeat}
 	for _, s := range t.members {
 		if t.alive(s, now) {
-			beats = append(beats, s.current(now))
+			beats = append(beats, s.agedHeartbeat(now))
 		}
 	}
 	return beats
 }
 
-// current returns the heartbeat with LogAgeMs increased by the time since it was
+// agedHeartbeat returns the heartbeat with LogAgeMs increased by the time since it was
 // received.
-func (s *memberState) current(now time.Time) wire.Heartbeat {
+func (s *memberState) agedHeartbeat(now time.Time) wire.Heartbeat {
 	b := s.heartbeat
 	b.LogAgeMs += now.Sub(s.receivedAt).Milliseconds()
 	return b
@@ -218,7 +221,7 @@
 	add(t.self, t.heartbeat)
 	for _, s := range t.members {
 		if t.alive(s, now) {
-			add(s.m, s.current(now))
+			add(s.m, s.agedHeartbeat(now))
 		}
 	}
 	return answer
@@ -243,8 +246,9 @@
 	t.recordOwners(m)
 }
 
-// mergeHeartbeat stores a heartbeat if it is newer and the description of its member is
-// in the table. The caller must hold t.mu.
+// mergeHeartbeat stores a heartbeat if it is newer and belongs to the incarnation whose
+// description is in the table. The stored Version remains that of the description, so
+// that messages to peers show which description this host has. The caller must hold t.mu.
 func (t *Table) mergeHeartbeat(b wire.Heartbeat, now time.Time) {
 	s := t.members[b.ID]
 	if s == nil || b.Boot != s.m.Boot || !b.Newer(s.heartbeat) {
@@ -264,14 +268,15 @@
 	}
 }
 
-// alive reports whether the member's newest heartbeat is recent enough.
+// alive reports whether the member's newest heartbeat was received at most SuspectAfter
+// ago. Otherwise the member is suspected.
 func (t *Table) alive(s *memberState, now time.Time) bool {
 	return now.Sub(s.receivedAt) <= t.cfg.SuspectAfter
 }
 
 // RecordClaim records a group's owner as read from the log, unless the same or a newer
-// epoch is recorded already. A host that has just claimed a group has not announced it yet, so
-// HasLiveOwner returns true for the group during SuspectAfter/2.
+// epoch is recorded already. The owner may not have announced the group yet, so
+// HasLiveOwner returns true for the next SuspectAfter/2.
 func (t *Table) RecordClaim(group string, o Owner, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -304,16 +309,16 @@
 	add(t.self, t.heartbeat)
 	for _, s := range t.members {
 		if t.alive(s, now) {
-			add(s.m, s.current(now))
+			add(s.m, s.agedHeartbeat(now))
 		}
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].ID < list[j].ID })
 	return list
 }
 
-// HasLiveOwner reports whether the group has a live owner: a live member, leaving or not,
-// that lists the group at the newest known epoch, or a host whose claim was read
-// from the log no longer than SuspectAfter/2 ago.
+// HasLiveOwner reports whether the newest known owner of the group counts as alive: it
+// is the local host or a live member, leaving or not, whose description contains the
+// group with that epoch, or its claim was read from the log at most SuspectAfter/2 ago.
 func (t *Table) HasLiveOwner(group string, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -340,9 +345,9 @@
 	return false
 }
 
-// PeerSummary summarizes the state of the other members that are not leaving: whether
-// any of them is suspected dead, the lowest LogAge of the live ones, and the number
-// of live ones. Without live ones, minLogAge is the maximum duration.
+// PeerSummary summarizes the state of the other members that are not leaving: suspected
+// is true if any of them is suspected, minLogAge is the lowest LogAge of the live ones,
+// or the maximum duration if there are none, and live is their number.
 func (t *Table) PeerSummary(now time.Time) (suspected bool, minLogAge time.Duration, live int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -356,28 +361,28 @@
 			continue
 		}
 		live++
-		minLogAge = min(minLogAge, time.Duration(s.current(now).LogAgeMs)*time.Millisecond)
+		minLogAge = min(minLogAge, time.Duration(s.agedHeartbeat(now).LogAgeMs)*time.Millisecond)
 	}
 	return suspected, minLogAge, live
 }
 
-// PickLive returns the addresses of up to n random live members, excluding the local
-// host.
+// PickLive returns the addresses of up to n random live members, including leaving ones
+// and excluding the local host.
 func (t *Table) PickLive(n int, r *rand.Rand, now time.Time) []string {
 	return t.pick(n, r, func(s *memberState) bool { return t.alive(s, now) })
 }
 
-// suspectContactOdds is the number of rounds per contact attempt with a suspected member,
-// on average.
-const suspectContactOdds = 8
+// suspectContactRounds is the average number of rounds between two contact attempts with
+// suspected members.
+const suspectContactRounds = 8
 
 // GossipPartners returns the addresses of the members to exchange messages with in one
-// round: a random live member and, in one of suspectContactOdds rounds or if no member is
-// alive, a random suspected one. Without the suspected ones, the two sides of a network
-// partition would not find each other again after it has healed.
+// round: a random live member and, in one of suspectContactRounds rounds or if no member is
+// alive, a random suspected one. If hosts never contacted suspected members, the two sides
+// of a network partition would not find each other again after it has healed.
 func (t *Table) GossipPartners(r *rand.Rand, now time.Time) []string {
 	addrs := t.PickLive(1, r, now)
-	if len(addrs) == 0 || r.IntN(suspectContactOdds) == 0 {
+	if len(addrs) == 0 || r.IntN(suspectContactRounds) == 0 {
 		addrs = append(addrs, t.pick(1, r, func(s *memberState) bool { return !t.alive(s, now) })...)
 	}
 	return addrs
@@ -400,7 +405,8 @@
 
 // PreferenceOrder returns the members in order of preference as owners of the group:
 // those in the group's availability zone first, then the others, each sorted by rendezvous
-// hash. When a host fails, only the groups that it owned move.
+// hash. Removing a member does not change the order of the others, so only the groups
+// for which it was first get another first member.
 func PreferenceOrder(group, az string, live []Peer) []Peer {
 	type ranked struct {
 		m     Peer
--- a/internal/node/peers/peers_test.go
+++ b/internal/node/peers/peers_test.go
@@ -86,11 +86,11 @@
 	return low && high
 }
 
-// TestHealedSplit partitions the hosts for longer than SuspectAfter. After the
+// TestHealedPartition partitions the hosts for longer than SuspectAfter. After the
 // partition has healed, both sides must find each other again, even if only the seed
 // host was cut off. Package entry tests the same failure with real hosts in
 // TestCutOffHost.
-func TestHealedSplit(t *testing.T) {
+func TestHealedPartition(t *testing.T) {
 	for _, split := range []int{1, 2, 4} {
 		w := newTestNetwork(8)
 		for range 20 {
@@ -137,26 +137,26 @@
 	assert.Equal(t, w.descriptions, 0)
 }
 
-// TestDeath checks that all hosts detect a dead host within SuspectAfter and the rounds
+// TestHostFailure checks that all hosts detect a failed host within SuspectAfter and the rounds
 // that gossip needs, and accept the host again after a restart with a higher Boot.
-func TestDeath(t *testing.T) {
+func TestHostFailure(t *testing.T) {
 	w := newTestNetwork(8)
 	for range 20 {
 		w.round()
 	}
 	w.dead[3] = true
-	died := w.now
+	failedAt := w.now
 	for detected := false; !detected; {
 		w.round()
 		detected = true
 		for i, tab := range w.tables {
 			detected = detected && (w.dead[i] || len(tab.Live(w.now)) == 7)
 		}
-		assert.Assert(t, w.now.Sub(died) < suspectAfter+10*interval, "not detected after %s", w.now.Sub(died))
+		assert.Assert(t, w.now.Sub(failedAt) < suspectAfter+10*interval, "not detected after %s", w.now.Sub(failedAt))
 	}
-	silent, _, heard := w.tables[0].PeerSummary(w.now)
-	assert.Assert(t, silent)
-	assert.Equal(t, heard, 6)
+	suspected, _, live := w.tables[0].PeerSummary(w.now)
+	assert.Assert(t, suspected)
+	assert.Equal(t, live, 6)
 	w.dead[3] = false
 	w.tables[3] = NewTable(Config{
 		Self:         wire.Member{ID: "e3", Addr: addrOf(3), Boot: 2},
