--- a/internal/node/route/pool.go
+++ b/internal/node/route/pool.go
@@ -2,13 +2,13 @@
 //
 // A Pool is the set of targets of one service in one group. The entry host that
 // serves a pool sends all calls to its targets, so it tracks their free slots
-// locally. A Router runs on the host that received the call. It chooses the less
-// loaded of two random pools, by the load that gossip last reported and with a
-// preference for its own availability zone, and forwards the call to the host that
-// serves the pool.
+// locally. A Router runs on the host that received the call. It draws two pools at
+// random and forwards the call to the host that serves the less loaded one. It compares
+// the load that gossip last reported or, if higher, the number of its own calls in
+// flight, and adds a penalty for pools in another availability zone.
 //
-// The host that serves a pool is determined by the table of live hosts and not by
-// the log, so calls continue while the log is down. Two hosts may briefly serve the
+// The host that serves a pool is determined by the membership table (package peers) and
+// not by the log, so calls continue while the log is down. Two hosts may briefly serve the
 // same pool. This is harmless: an executor rejects a call for which it has no free
 // slot and reports that the call did not run.
 //
@@ -47,27 +47,27 @@
 
 	mu       sync.Mutex
 	targets  map[string]*poolTarget
-	queue    []chan *poolTarget // channels of the queued calls, oldest first; Close closes them
-	acquired uint64             // number of slots acquired since the start
+	queue    []chan *poolTarget // queued calls, oldest first; each channel receives the call's target, or is closed by Close
+	acquired uint64             // slots acquired so far; orders poolTarget.lastAcquired
 	busy     int                // slots in use
 	closed   bool
 }
 
 // poolTarget is a target of the pool and its state.
 type poolTarget struct {
-	info         hosts.Target
+	info         hosts.Target // entry in the host list
 	client       target.Target
 	busy         int       // slots in use
 	failures     int       // consecutive failed calls
-	lastAcquired uint64    // value of Pool.acquired when its slot was last acquired
+	lastAcquired uint64    // value of Pool.acquired when a slot of this target was last acquired
 	ejectedUntil time.Time // end of the ejection: no calls are sent before
 }
 
 // Limits of a pool.
 const (
-	maxQueuePerSlot = 4 // queued calls per available slot
-	failuresToEject = 3 // consecutive failures that eject a target
-	ejectionTime    = 2 * time.Second
+	maxQueuePerSlot = 4               // queued calls per slot of the available targets
+	failuresToEject = 3               // consecutive failures that eject a target
+	ejectionTime    = 2 * time.Second // time without calls for an ejected target
 )
 
 // NewPool returns a pool without targets.
@@ -76,19 +76,20 @@
 }
 
 // SetTargets replaces the targets of the pool. A target that is leaving or no longer
-// listed gets no new calls; its calls in flight continue.
+// listed gets no new calls; its calls in flight continue. A target with a new URL counts
+// as a new target.
 func (p *Pool) SetTargets(list []hosts.Target) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	listed := map[string]bool{}
-	for _, h := range list {
-		listed[h.ID] = true
-		t := p.targets[h.ID]
-		if t == nil || t.info.URL != h.URL {
-			t = &poolTarget{client: p.cfg.Dial(h)}
-			p.targets[h.ID] = t
+	for _, entry := range list {
+		listed[entry.ID] = true
+		t := p.targets[entry.ID]
+		if t == nil || t.info.URL != entry.URL {
+			t = &poolTarget{client: p.cfg.Dial(entry)}
+			p.targets[entry.ID] = t
 		}
-		t.info = h
+		t.info = entry
 	}
 	for id, t := range p.targets {
 		if !listed[id] {
@@ -101,7 +102,8 @@
 	p.assignQueued()
 }
 
-// Load returns the state of the pool that gossip reports to peers.
+// Load returns the slots, calls in progress and queue length of the pool, which gossip
+// reports to peers.
 func (p *Pool) Load() wire.Pool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -130,8 +132,8 @@
 }
 
 // Serve sends a call to one target, without retries, and returns the complete
-// response. If no slot is free, the call is queued until ctx ends. Errors are of
-// type *fault.Error.
+// response. If no slot is free, the call waits in a bounded queue until one is free or
+// ctx ends. Errors are of type *fault.Error.
 func (p *Pool) Serve(ctx context.Context, msg wire.CallMsg) (a wire.CallAnswer, err error) {
 	t, err := p.acquire(ctx)
 	if err != nil {
@@ -145,7 +147,9 @@
 	return wire.CallAnswer{Status: answer.Status, Body: answer.Body, Ran: fault.Done}, nil
 }
 
-// acquire acquires a slot of the target with the most free slots, or waits for one.
+// acquire acquires a slot of the target with the most free slots. If none is free, it
+// waits in the queue until one is free or ctx ends. It fails at once if the queue is
+// full, no target is available or the pool is closed.
 func (p *Pool) acquire(ctx context.Context) (*poolTarget, error) {
 	p.mu.Lock()
 	if t := p.pick(); t != nil {
@@ -219,9 +223,12 @@
 	return t.info.ID < o.info.ID
 }
 
+// freeSlots returns the number of free slots. It is negative if the host list has
+// lowered Slots below busy.
 func (t *poolTarget) freeSlots() int { return t.info.Slots - t.busy }
 
-// takeSlot acquires a slot of t. The caller must hold p.mu.
+// takeSlot counts a slot of t as in use. The caller must hold p.mu and have checked that
+// t has a free slot.
 func (p *Pool) takeSlot(t *poolTarget) {
 	p.acquired++
 	t.lastAcquired = p.acquired
@@ -244,7 +251,8 @@
 
 // release releases the slot and records the result of the call. A target with
 // failuresToEject consecutive failures is ejected for ejectionTime if mayEject allows
-// it. An overload error does not count as a failure.
+// it; otherwise the next failure tries again. An overload error does not count as a
+// failure.
 func (p *Pool) release(t *poolTarget, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -263,9 +271,9 @@
 	p.assignQueued()
 }
 
-// mayEject reports whether at least half of the targets would remain available
-// after ejecting one more, so that errors of a service never eject all of its targets.
-// The caller must hold p.mu.
+// mayEject reports whether at least half of the pool's targets would remain available
+// after ejecting one more. A service that fails on all targets therefore keeps at
+// least half of them, and a single target is never ejected. The caller must hold p.mu.
 func (p *Pool) mayEject() bool {
 	available := 0
 	now := p.cfg.Clock.Now()
@@ -277,8 +285,8 @@
 	return (available-1)*2 >= len(p.targets)
 }
 
-// Close rejects the queued calls. Later calls are rejected when no slot is free.
-// Calls in flight continue.
+// Close rejects the queued calls and stops queueing. Later calls that find a free slot
+// still run. Calls in flight continue.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/node/route/route.go
+++ b/internal/node/route/route.go
@@ -22,7 +22,7 @@
 type RouterConfig struct {
 	Az        string // availability zone of this host
 	Forwarder Forwarder
-	Rand      *rand.Rand // used only with the router's lock held
+	Rand      *rand.Rand // must not be used by others; the router protects it with its own lock
 }
 
 // Router selects a pool for each call and retries failed calls where that is safe.
@@ -30,8 +30,8 @@
 	cfg RouterConfig
 
 	mu       sync.Mutex
-	inFlight map[string]int // group -> calls in flight from this router
-	budget   float64        // retries left in the budget
+	inFlight map[string]int // group -> calls in flight from this router, of any service
+	budget   float64        // retries that are currently allowed
 	stats    RouterStats
 }
 
@@ -39,16 +39,16 @@
 type RouterStats struct {
 	Calls   int64 `json:"calls"`
 	Retries int64 `json:"retries"`
-	Denied  int64 `json:"retriesDenied"` // retries not made because the budget was used up
+	Denied  int64 `json:"retriesDenied"` // retries that the budget did not allow
 	Unknown int64 `json:"unknown"`       // attempts with an unknown outcome
 }
 
 // Retry limits and pool selection.
 const (
-	maxAttempts     = 4   // attempts per call
-	budgetPerCall   = 0.1 // retries that each call adds to the budget
+	maxAttempts     = 4   // per call, including the first
+	budgetPerCall   = 0.1 // retries that each call adds to the budget; limits retries to 10% of the calls in the long run
 	maxBudget       = 50  // maximum retries in the budget
-	remoteAzPenalty = 0.5 // added to the load of a pool in another availability zone
+	remoteAzPenalty = 0.5 // added to the load of a pool in another availability zone; 1 means all slots in use
 )
 
 // NewRouter returns a router with a full retry budget.
@@ -63,13 +63,14 @@
 	return r.stats
 }
 
-// Call sends a call to a pool of its service. If the attempt fails, Call retries in
-// another pool where possible, provided that the call certainly did not run, or
-// that its outcome is unknown and the call is idempotent. Each retry has its own id,
-// so a late response to one attempt is not taken for that of another.
+// Call sends a call to a pool of its service and retries failed attempts, preferably in
+// another pool. It retries if the attempt certainly did not run, or if its outcome is
+// unknown and the call is idempotent, up to maxAttempts and the retry budget and until
+// ctx ends. Each retry has its own id, so a late response to one attempt is not taken
+// for that of another.
 func (r *Router) Call(ctx context.Context, msg wire.CallMsg) (a wire.CallAnswer, err error) {
 	defer fault.Note(&err, "service %q", msg.Service)
-	r.startCall()
+	r.countCall()
 	tried := map[string]bool{}
 	id := msg.ID
 	for attempt := 1; ; attempt++ {
@@ -90,7 +91,7 @@
 }
 
 // attemptID returns the call id of an attempt. The first attempt uses the id of the call
-// itself.
+// itself. The number of the attempt must be at most 9.
 func attemptID(id string, attempt int) string {
 	if attempt == 1 {
 		return id
@@ -124,8 +125,9 @@
 	return a, err
 }
 
-// pick returns the less loaded of two random pools of the service. Pools that were
-// already tried are considered only when no other is left.
+// pick draws two pools of the service at random, possibly the same one twice, and
+// returns the less loaded one. Pools of groups in tried are considered only if there are
+// no others.
 func (r *Router) pick(service string, tried map[string]bool) (best wire.Pool, ok bool) {
 	var candidates, alreadyTried []wire.Pool
 	for _, p := range r.cfg.Forwarder.Pools() {
@@ -154,7 +156,8 @@
 
 // load estimates the utilization of a pool, where 1 means that every slot is in use.
 // It uses the larger of the load that gossip reported and the calls in flight from
-// this router, because the reported load may be out of date.
+// this router to the group, of any service, because the reported load may be out of
+// date.
 func (r *Router) load(p wire.Pool) float64 {
 	load := float64(max(p.Busy+p.Queued, r.inFlight[p.Group])) / float64(p.Slots)
 	if p.Az != r.cfg.Az {
@@ -163,8 +166,8 @@
 	return load
 }
 
-// startCall counts a call and adds its share to the retry budget.
-func (r *Router) startCall() {
+// countCall counts a call and adds its share to the retry budget.
+func (r *Router) countCall() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.stats.Calls++
--- a/internal/node/route/route_test.go
+++ b/internal/node/route/route_test.go
@@ -179,12 +179,12 @@
 	sent  []wire.CallMsg
 }
 
-func (s *fakeForwarder) Pools() []wire.Pool { return s.pools }
+func (f *fakeForwarder) Pools() []wire.Pool { return f.pools }
 
-func (s *fakeForwarder) Serve(_ context.Context, msg wire.CallMsg) (wire.CallAnswer, error) {
-	s.sent = append(s.sent, msg)
-	if n := len(s.sent); n <= len(s.errs) && s.errs[n-1] != nil {
-		return wire.CallAnswer{}, s.errs[n-1]
+func (f *fakeForwarder) Serve(_ context.Context, msg wire.CallMsg) (wire.CallAnswer, error) {
+	f.sent = append(f.sent, msg)
+	if n := len(f.sent); n <= len(f.errs) && f.errs[n-1] != nil {
+		return wire.CallAnswer{}, f.errs[n-1]
 	}
 	return wire.CallAnswer{Ran: fault.Done}, nil
 }
