--- a/internal/node/entry/admin.go
+++ b/internal/node/entry/admin.go
@@ -45,7 +45,8 @@
 	return res, err
 }
 
-// ConfigAnswer is the configuration as applied by one host.
+// ConfigAnswer is the configuration that one host has applied, up to and including the
+// record at Offset. It was last known to be complete AgeMs ago.
 type ConfigAnswer struct {
 	Offset int64                   `json:"offset"`
 	AgeMs  int64                   `json:"ageMs"`
@@ -73,7 +74,8 @@
 	Action jobs.Action `json:"action"`
 }
 
-// postSettle applies an operator's decision on a parked task.
+// postSettle applies an operator's decision on a parked task and returns the job. It is
+// not retried while the group has no owner.
 func (h *Host) postSettle(r *http.Request) (a JobAnswer, err error) {
 	if err := h.checkOperator(r); err != nil {
 		return a, err
--- a/internal/node/entry/calls.go
+++ b/internal/node/entry/calls.go
@@ -40,7 +40,8 @@
 	_, _ = w.Write(a.Body)
 }
 
-// parseCall parses and validates the headers and body of a call.
+// parseCall authenticates the caller, checks that its team may use the service, and
+// parses the headers and body of the call.
 func (h *Host) parseCall(r *http.Request) (msg wire.CallMsg, timeout time.Duration, err error) {
 	team, err := h.requestTeam(r)
 	if err != nil {
@@ -82,8 +83,9 @@
 	return time.Duration(ms) * time.Millisecond, nil
 }
 
-// routeCall routes an idempotent call directly to a pool. Any other call goes through
-// the owner of its group, which records the call in the log before sending it.
+// routeCall sends an idempotent call directly to a pool. It sends any other call to the
+// owner of the group that homeGroup selects, which records the call in the log before
+// it sends the call to a pool.
 func (h *Host) routeCall(ctx context.Context, msg wire.CallMsg) (wire.CallAnswer, error) {
 	if msg.Idempotent {
 		return h.router.Call(ctx, msg)
