--- a/internal/node/entry/group.go
+++ b/internal/node/entry/group.go
@@ -10,8 +10,9 @@
 	"lagooncourse/internal/plat/hosts"
 )
 
-// GroupOf returns the name of the group that a rack belongs to. An availability zone
-// has n groups. The group of a rack does not change as long as n stays the same.
+// GroupOf returns the name of the group that a rack belongs to. The racks of an
+// availability zone are divided by hash into at most n groups. The group of a rack
+// does not change as long as n stays the same.
 func GroupOf(az, rack string, n int) string {
 	return fmt.Sprintf("%s-%d", az, xxhash.Sum64String(rack)%uint64(n))
 }
@@ -30,16 +31,16 @@
 	return names
 }
 
-// homeGroup returns the group that a submission or call is assigned to, by rendezvous
-// hash. The result depends only on the arguments, so a retry reaches the same group
-// through any host.
-func homeGroup(names []string, team, submission string) string {
+// homeGroup returns the group that the submission or call with the given id is
+// assigned to, by rendezvous hash. The result depends only on the arguments, so a
+// retry through another host with the same list of groups reaches the same group.
+func homeGroup(names []string, team, id string) string {
 	var best string
 	var bestHash uint64
-	key := group.SubKey(team, submission)
+	key := group.SubKey(team, id)
 	for _, name := range names {
-		if h := xxhash.Sum64String(key + "\x00" + name); best == "" || h > bestHash {
-			best, bestHash = name, h
+		if hash := xxhash.Sum64String(key + "\x00" + name); best == "" || hash > bestHash {
+			best, bestHash = name, hash
 		}
 	}
 	return best
--- a/internal/node/entry/settings.go
+++ b/internal/node/entry/settings.go
@@ -56,10 +56,12 @@
 
 var _ conf.Checker = Settings{}
 
-// minRenewalsInLease is the minimum length of a lease in renewal intervals.
+// minRenewalsInLease is the minimum ratio of the lease to the renewal interval. Two
+// renewals in a row can fail before the lease ends.
 const minRenewalsInLease = 3
 
-// Check returns errors that depend on several keys, and invalid addresses and URLs.
+// Check reports invalid combinations of settings, and invalid addresses and URLs. The
+// tags limit the values of single settings.
 func (s Settings) Check() error {
 	var errs []error
 	addError := func(section, key string, value any, format string, args ...any) {
@@ -92,13 +94,14 @@
 	return errors.Join(errs...)
 }
 
-// isAddr reports whether s has the form IP:port.
+// isAddr reports whether s has the form IP:port with a numeric IP. It does not check
+// that the port is a number.
 func isAddr(s string) bool {
 	host, port, err := net.SplitHostPort(s)
 	return err == nil && net.ParseIP(host) != nil && port != ""
 }
 
-// groupTiming returns the settings of a group's timing.
+// groupTiming returns the timing of groups: the defaults, overridden by the settings.
 func (s Settings) groupTiming() owner.Timing {
 	t := owner.DefaultTiming()
 	t.Commit, t.Renew, t.Lease, t.Margin = s.Timing.Commit, s.Timing.Renew, s.Timing.Lease, s.Timing.Margin
