--- a/internal/node/entry/bench_test.go
+++ b/internal/node/entry/bench_test.go
@@ -73,11 +73,11 @@
 			return len((&remote{h: c.hosts[0]}).Duties()) == len(testAzs)
 		})
 		victim := c.hosts[2]
-		names := victim.ownedEpochs()
+		epochs := victim.ownedEpochs()
 		start := time.Now()
 		victim.Kill()
 		until(b, "other hosts own its groups", func() bool {
-			for name := range names {
+			for name := range epochs {
 				if c.hosts[0].ownedGroup(name) == nil && c.hosts[1].ownedGroup(name) == nil {
 					return false
 				}
--- a/internal/node/entry/entry_test.go
+++ b/internal/node/entry/entry_test.go
@@ -162,10 +162,10 @@
 	return false
 }
 
-// TestLimitInForce submits jobs through all hosts until a team's limit is reached and
+// TestLimitEnforced submits jobs through all hosts until a team's limit is reached and
 // then lowers the limit. The tasks that run at once must never exceed the limit, and
 // must meet the lower limit within 4 s.
-func TestLimitInForce(t *testing.T) {
+func TestLimitEnforced(t *testing.T) {
 	c := startTestCell(t, testCellConfig{hosts: 3, workers: 6})
 	c.createTeam("lab", 6000)
 	for i := range 30 {
@@ -240,10 +240,10 @@
 	assert.Equal(t, fault.From(err).Code, fault.Conflict)
 }
 
-// TestLostWorkerReruns pauses the worker of an idempotent task. The task may run on
+// TestRunsDoNotOverlap pauses the worker of an idempotent task. The task may run on
 // another worker only after the lease of the first has expired, so the two runs must
 // not overlap.
-func TestLostWorkerReruns(t *testing.T) {
+func TestRunsDoNotOverlap(t *testing.T) {
 	c := startTestCell(t, testCellConfig{hosts: 2, workers: 4})
 	c.createTeam("lab", 8000)
 	spec := testSpec("survey", 1000)
@@ -266,7 +266,8 @@
 func TestFreshness(t *testing.T) {
 	c := startTestCell(t, testCellConfig{hosts: 3, workers: 3, timing: "freshFor = 300ms\nsuspectAfter = 900ms\ngossip = 50ms"})
 	fresh := func(i int) bool { return c.hosts[i].follower.Fresh() == nil }
-	steady := func(what string, ok func() bool) {
+	// holds waits until ok is true and checks that it stays true for 400 ms.
+	holds := func(what string, ok func() bool) {
 		t.Helper()
 		until(t, what, ok)
 		for range 20 {
@@ -277,7 +278,7 @@
 			}
 		}
 	}
-	steady("all hosts read the log: all are fresh", func() bool { return fresh(0) && fresh(1) && fresh(2) })
+	holds("all hosts read the log: all are fresh", func() bool { return fresh(0) && fresh(1) && fresh(2) })
 
 	waitForMembership(c)
 	c.log.Set(fakes.LogSwitch{Outage: true})
@@ -285,12 +286,12 @@
 		age, _ := c.hosts[0].follower.Age()
 		return age > time.Second
 	})
-	steady("the log is down and all hosts are connected to each other: all are fresh", func() bool { return fresh(0) && fresh(1) && fresh(2) })
+	holds("the log is down and all hosts are connected to each other: all are fresh", func() bool { return fresh(0) && fresh(1) && fresh(2) })
 
 	c.hosts[2].Kill()
 	until(t, "a host is dead while the log is down: the others are not fresh", func() bool { return !fresh(0) && !fresh(1) })
 	c.log.Set(fakes.LogSwitch{})
-	steady("the log is available again: the others are fresh", func() bool { return fresh(0) && fresh(1) })
+	holds("the log is available again: the others are fresh", func() bool { return fresh(0) && fresh(1) })
 }
 
 // TestCutOffHost disconnects one host from its peers and from the log. The host must
@@ -333,13 +334,13 @@
 	})
 }
 
-// TestLonelyHost disconnects a host from the log before any other host is in its
+// TestLogLostBeforePeersKnown disconnects a host from the log before any other host is in its
 // membership table. The host must not treat this as an outage of the log for all
 // hosts, in which it would remain ready.
-func TestLonelyHost(t *testing.T) {
+func TestLogLostBeforePeersKnown(t *testing.T) {
 	c := startTestCell(t, testCellConfig{hosts: 1, workers: 2, timing: "freshFor = 300ms"})
 	c.testLogs[0].disconnected.Store(true)
-	until(t, "the isolated host is not ready", func() bool { return c.hosts[0].Ready() != nil })
+	until(t, "the disconnected host is not ready", func() bool { return c.hosts[0].Ready() != nil })
 }
 
 // disconnect disconnects host i from all other hosts if on is true, and reconnects it
