--- a/internal/node/entry/api.go
+++ b/internal/node/entry/api.go
@@ -21,17 +21,17 @@
 
 // Header names of the API.
 const (
-	HeaderCallID     = "Call-Id"
-	HeaderIdempotent = "Call-Idempotent"
-	HeaderTimeout    = "Call-Timeout-Ms"
-	HeaderRan        = "Call-Ran"
+	HeaderCallID     = "Call-Id"         // request and response
+	HeaderIdempotent = "Call-Idempotent" // request: true or false
+	HeaderTimeout    = "Call-Timeout-Ms" // request: in milliseconds
+	HeaderRan        = "Call-Ran"        // response: outcome of the call, a fault.Outcome
 )
 
-// Limits of requests.
+// Limits of the values in requests and of responses.
 const (
-	maxStatusWait  = time.Minute // wait for the end of a job
-	maxListJobs    = 1000        // jobs listed per group
-	maxCallTimeout = 10 * time.Minute
+	maxStatusWait  = time.Minute      // wait for the end of a job
+	maxListJobs    = 1000             // jobs listed per group
+	maxCallTimeout = 10 * time.Minute // maximum of Call-Timeout-Ms, as of the setting callTimeout
 )
 
 // routes returns the routes of the HTTP API, which docs/API.md documents.
@@ -69,19 +69,21 @@
 	}
 }
 
-// bearerToken returns the key in the request's Authorization header, or "".
-func bearerToken(r *http.Request) string {
+// requestKey returns the key in the request's Authorization header, with or without
+// the prefix "Bearer ", or "" if there is none.
+func requestKey(r *http.Request) string {
 	key, _ := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	return strings.TrimSpace(key)
 }
 
 // requestTeam returns the team of the request's key, or config.OpenTeam if the
-// request has no key.
+// request has no key. It returns an error if the configuration is not fresh or the key
+// is not valid.
 func (h *Host) requestTeam(r *http.Request) (string, error) {
 	if err := h.follower.Fresh(); err != nil {
 		return "", err
 	}
-	key := bearerToken(r)
+	key := requestKey(r)
 	if key == "" {
 		return config.OpenTeam, nil
 	}
@@ -89,7 +91,8 @@
 }
 
 // checkAllowed returns an error unless the team may use the named queue, service or
-// availability zone. If the request had no key, the error is NoKey.
+// availability zone; kind is "queue", "service" or "az". The error for config.OpenTeam
+// has the code NoKey.
 func (h *Host) checkAllowed(team, kind, name string) error {
 	err := h.follower.State().Allowed(team, kind, name)
 	if err != nil && team == config.OpenTeam {
@@ -102,7 +105,7 @@
 // has the operators' key or, if none is set, comes from the loopback address.
 func (h *Host) checkOperator(r *http.Request) error {
 	if hash := h.settings.API.OperatorKey; hash != "" {
-		if config.HashSecret(bearerToken(r)) == hash {
+		if config.HashSecret(requestKey(r)) == hash {
 			return nil
 		}
 		return fault.New(fault.NoKey, fault.NotRun, "the request requires the operators' key")
@@ -150,17 +153,17 @@
 	Az       string            `json:"az"`
 	UptimeMs int64             `json:"uptimeMs"`
 	Leaving  bool              `json:"leaving"`
-	Ready    string            `json:"ready"` // "yes", or the error of Ready
-	CellNext int64             `json:"cellNext"`
-	CellAge  int64             `json:"cellAgeMs"`
-	Live     []peers.Peer      `json:"live"`
+	Ready    string            `json:"ready"`     // "yes", or the error of Ready
+	CellNext int64             `json:"cellNext"`  // next offset of the configuration stream
+	CellAge  int64             `json:"cellAgeMs"` // time since the configuration was last known to be complete
+	Live     []peers.Peer      `json:"live"`      // live entry hosts, including this one
 	Groups   []owner.Dump      `json:"groups"`
 	Pools    []wire.Pool       `json:"pools"`
 	Router   route.RouterStats `json:"router"`
 	Traffic  Traffic           `json:"trafficBytes"`
 }
 
-// Dump returns a snapshot of the host's state.
+// Dump returns the state that GET /dump shows to operators.
 func (h *Host) Dump() Dump {
 	age, next := h.follower.Age()
 	now := h.clock.Now()
@@ -175,7 +178,7 @@
 	h.mu.Lock()
 	d.Leaving = h.leaving
 	h.mu.Unlock()
-	for _, lg := range h.localGroups() {
+	for _, lg := range h.allGroups() {
 		d.Groups = append(d.Groups, lg.g.Dump())
 	}
 	return d
@@ -184,10 +187,11 @@
 // Traffic is the number of bytes exchanged with other entry hosts.
 type Traffic struct {
 	Control frame.Bytes `json:"control"` // membership and configuration
-	Work    frame.Bytes `json:"work"`    // everything else, proportional to jobs and calls
+	Work    frame.Bytes `json:"work"`    // all other methods: requests about jobs and calls
 }
 
-// traffic sums the bytes of the server and client sides of the peer protocol.
+// traffic sums the bytes that this host has exchanged as a server and as a client of
+// the peer protocol.
 func (h *Host) traffic() (t Traffic) {
 	for _, side := range []*frame.Traffic{h.peerServer.Traffic(), h.peerConns.Traffic()} {
 		for method, b := range side.ByMethod() {
--- a/internal/node/entry/cell.go
+++ b/internal/node/entry/cell.go
@@ -20,13 +20,18 @@
 // configFollower keeps the configuration up to date. It reads the configuration stream
 // from the log and, while the log does not answer, from peers.
 //
-// The configuration is fresh if it was complete within the last FreshFor. A host
-// whose configuration is not fresh may have missed a change, such as the withdrawal
-// of a key, and rejects work. The exception is an outage of the log for all hosts,
-// in which nothing can have been published: every other host that is not leaving
-// is alive, there is at least one such host or the cell has no other, and none of
-// them has read the end of the log within FreshFor. The table of cases is in
-// docs/design/0004-freshness.md.
+// The configuration is fresh if it was known to be complete at most freshFor ago. A
+// host whose configuration is not fresh may have missed a change, such as the
+// withdrawal of a key, and rejects work.
+//
+// The exception is an outage of the log for all hosts, during which no change can have
+// been appended. A host assumes such an outage if its state is ready and all of the
+// following hold:
+//   - no other host in its table is suspected, except leaving ones
+//   - at least one other host is live, or the settings name no other host
+//   - no other live host has read the end of the log within freshFor
+//
+// The table of cases is in docs/design/0004-freshness.md.
 type configFollower struct {
 	log       stream.Log
 	table     *peers.Table
@@ -34,14 +39,14 @@
 	clock     clock.Clock
 	logger    logr.Logger
 	freshFor  time.Duration
-	soleHost  bool // the settings name no other entry host
+	noSeeds   bool // the settings name no other entry host
 	machine   *config.Machine
 
 	mu            sync.Mutex
 	replay        *stream.Replay
-	completeAt    time.Time     // when the state was last known to be complete
-	logReadAt     time.Time     // when the end of the stream was last read from the log
-	recentRecords [][]byte      // newest records, served to peers
+	completeAt    time.Time     // latest time as of which the state is known to be complete, by a read from the log or a peer
+	logReadAt     time.Time     // when the last read that reached the end of the stream was sent to the log
+	recentRecords [][]byte      // newest records without gaps, up to replay.Next(); served to peers
 	changed       chan struct{} // closed and replaced when records are applied
 }
 
@@ -49,12 +54,12 @@
 
 // Timeouts, retry delays and limits of the follower.
 const (
-	maxReadWait       = time.Second // maximum wait of a read for a new record
-	readRetryInterval = 200 * time.Millisecond
-	peerTimeout       = time.Second
-	maxRecentRecords  = 4096                  // records kept for peers
-	minAppendBackoff  = 50 * time.Millisecond // first delay between two appends of a record; doubles
-	maxAppendBackoff  = time.Second           // maximum delay between two appends of a record
+	maxReadWait       = time.Second            // maximum wait of a read for a new record, and for an appended record to be applied
+	readRetryInterval = 200 * time.Millisecond // after a failed read from the log
+	peerReadTimeout   = time.Second            // for one ReadConfig request to a peer
+	maxRecentRecords  = 4096                   // records kept for peers
+	minAppendBackoff  = 50 * time.Millisecond  // first delay between two appends of a record; doubles
+	maxAppendBackoff  = time.Second            // maximum delay between two appends of a record
 )
 
 // run follows the stream until ctx ends.
@@ -96,31 +101,33 @@
 }
 
 // applyPage applies a page that was read at the time asOf. It reports whether the
-// state is complete, which means that it includes all records up to the end of the stream.
+// state is complete: the replay is ready and has applied all records up to the end of
+// the stream as of asOf.
 func (f *configFollower) applyPage(p stream.Page, asOf time.Time) (complete bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	before := f.replay.Next()
+	oldNext := f.replay.Next()
 	complete = f.replay.Take(p) && f.replay.Ready()
 	if complete && asOf.After(f.completeAt) {
 		f.completeAt = asOf
 	}
-	f.keepRecent(p, before)
-	if f.replay.Next() != before {
+	f.keepRecent(p, oldNext)
+	if f.replay.Next() != oldNext {
 		close(f.changed)
 		f.changed = make(chan struct{})
 	}
 	return complete
 }
 
-// keepRecent keeps the page's records from offset before on for peers. The caller
-// must hold f.mu.
-func (f *configFollower) keepRecent(p stream.Page, before int64) {
-	if p.First > before {
+// keepRecent adds the page's records with offset from or higher to f.recentRecords. If
+// the page starts after from, the records between are missing, and the older ones are
+// dropped so that recentRecords has no gap. The caller must hold f.mu.
+func (f *configFollower) keepRecent(p stream.Page, from int64) {
+	if p.First > from {
 		f.recentRecords = nil
 	}
 	for _, rec := range p.Records {
-		if rec.Offset >= before {
+		if rec.Offset >= from {
 			f.recentRecords = append(f.recentRecords, rec.Data)
 		}
 	}
@@ -136,7 +143,7 @@
 	if len(addrs) == 0 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
+	ctx, cancel := context.WithTimeout(ctx, peerReadTimeout)
 	defer cancel()
 	f.mu.Lock()
 	from := f.replay.Next()
@@ -181,8 +188,8 @@
 	return f.age(), f.replay.Next()
 }
 
-// LogAge returns the time since this host last read the end of the stream from the
-// log.
+// LogAge returns the time since this host sent the last read that reached the end of
+// the stream to the log.
 func (f *configFollower) LogAge() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -192,8 +199,8 @@
 // State returns the newest configuration.
 func (f *configFollower) State() *config.State { return f.machine.State() }
 
-// Fresh returns an error unless the configuration is recent enough to accept work.
-// The comment on configFollower has the rule.
+// Fresh returns an error unless the configuration is fresh, as defined at
+// configFollower.
 func (f *configFollower) Fresh() error {
 	f.mu.Lock()
 	age, ready := f.age(), f.replay.Ready()
@@ -202,21 +209,22 @@
 		return nil
 	}
 	suspected, minLogAge, live := f.table.PeerSummary(f.clock.Now())
-	if ready && !suspected && (live > 0 || f.soleHost) && minLogAge > f.freshFor {
+	if ready && !suspected && (live > 0 || f.noSeeds) && minLogAge > f.freshFor {
 		return nil
 	}
 	return fault.New(fault.Unavailable, fault.NotRun, "this host's configuration may be out of date").WithRetryAfter(1)
 }
 
-// LogUnreachable reports whether this host cannot read the log while another host
-// can. Such a host may read the configuration from its peers, but cannot own a group.
+// LogUnreachable reports whether this host has not read the end of the log within
+// freshFor while another live host has. Such a host may read the configuration from its
+// peers, but cannot own a group.
 func (f *configFollower) LogUnreachable() bool {
 	_, minLogAge, live := f.table.PeerSummary(f.clock.Now())
 	return f.LogAge() > f.freshFor && live > 0 && minLogAge <= f.freshFor
 }
 
-// Change appends a change of grants and waits until it, or a change with a newer
-// fence, has been applied.
+// Change appends a change of grants and waits until a change with the same or a newer
+// fencing token has been applied.
 func (f *configFollower) Change(ctx context.Context, g config.Grants) error {
 	return f.appendRecord(ctx, config.Record{Grants: &g}, func(s *config.State) bool {
 		fence := s.Fences[g.Group]
@@ -238,8 +246,10 @@
 	return f.State().Results[e.ID], nil
 }
 
-// appendRecord appends a record until done returns true for the state. The record may
-// be appended more than once; the state machine ignores the copies.
+// appendRecord appends a record and waits until done returns true for the state. It
+// repeats the append if necessary; the state machine ignores the copies. If ctx ends
+// first, the outcome of the error is NotRun if the record is certainly not in the log,
+// and Unknown otherwise.
 func (f *configFollower) appendRecord(ctx context.Context, rec config.Record, done func(*config.State) bool) error {
 	data, err := frame.Encode(rec)
 	if err != nil {
@@ -248,11 +258,11 @@
 	if data, err = stream.EncodeRecord(data); err != nil {
 		return err
 	}
-	sent := false
+	mayBeInLog := false
 	wait := minAppendBackoff
 	for !done(f.State()) {
 		_, err := f.log.Append(ctx, config.Stream, data)
-		sent = sent || fault.RanOf(err) != fault.NotRun
+		mayBeInLog = mayBeInLog || fault.RanOf(err) != fault.NotRun
 		if err == nil {
 			if f.waitUntil(ctx, done) {
 				return nil
@@ -262,7 +272,7 @@
 		case <-time.After(wait):
 		case <-ctx.Done():
 			ran := fault.NotRun
-			if sent {
+			if mayBeInLog {
 				ran = fault.Unknown
 			}
 			return fault.New(fault.Unavailable, ran, "the log has not confirmed the change")
@@ -273,7 +283,7 @@
 }
 
 // waitUntil waits until done returns true, for at most maxReadWait. It reports whether
-// it did.
+// done returned true.
 func (f *configFollower) waitUntil(ctx context.Context, done func(*config.State) bool) bool {
 	timeout := time.After(maxReadWait)
 	for {
--- a/internal/node/entry/duty.go
+++ b/internal/node/entry/duty.go
@@ -16,18 +16,18 @@
 func (h *Host) ownershipLoop(ctx context.Context) {
 	announced := map[string]uint64{}
 	runEvery(ctx, ownershipInterval, func(ctx context.Context) {
-		if now := h.ownedEpochs(); !maps.Equal(now, announced) {
-			announced = now
+		if epochs := h.ownedEpochs(); !maps.Equal(epochs, announced) {
+			announced = epochs
 			h.announce(ctx)
 		}
 		now := h.clock.Now()
 		if now.Sub(h.started) < claimDelay {
 			return
 		}
-		candidates := h.eligible(now)
+		eligible := h.eligibleHosts(now)
 		logUnreachable := h.follower.LogUnreachable()
-		for _, lg := range h.localGroups() {
-			lg.g.Want(h.shouldOwn(lg, candidates, logUnreachable, now))
+		for _, lg := range h.allGroups() {
+			lg.g.Want(h.shouldOwn(lg, eligible, logUnreachable, now))
 		}
 	})
 }
@@ -35,7 +35,7 @@
 // ownedEpochs returns the epochs of the groups that this host owns, by group name.
 func (h *Host) ownedEpochs() map[string]uint64 {
 	epochs := map[string]uint64{}
-	for _, lg := range h.localGroups() {
+	for _, lg := range h.allGroups() {
 		if e := lg.g.Epoch(); e > 0 {
 			epochs[lg.g.Name()] = e
 		}
@@ -43,9 +43,9 @@
 	return epochs
 }
 
-// eligible returns the live hosts that may own groups: those whose last read of the
+// eligibleHosts returns the live hosts that may own groups: those whose last read of the
 // end of the log is at most FreshFor older than that of any other live host.
-func (h *Host) eligible(now time.Time) []peers.Peer {
+func (h *Host) eligibleHosts(now time.Time) []peers.Peer {
 	live := h.table.Live(now)
 	minLogAge := time.Duration(1<<63 - 1)
 	for _, m := range live {
@@ -60,14 +60,14 @@
 	return list
 }
 
-// shouldOwn reports whether this host should own the group. The first host in the
-// group's order of preference claims a group without a live owner at once. Each
-// following host waits claimStagger longer, in case the hosts before it do not
-// claim the group. An owner that is no longer first hands the group over after
-// handoverDelay.
-func (h *Host) shouldOwn(lg *localGroup, candidates []peers.Peer, logUnreachable bool, now time.Time) bool {
+// shouldOwn reports whether this host should own the group now. The result is false if
+// this host is not eligible or cannot reach the log. An owner keeps the group until it
+// has not been first in the group's order of preference for handoverDelay. If the group
+// has no live owner, the host at rank r of the order, counted from 0, should claim it
+// r*claimStagger after it last had an owner, so that normally only one host does.
+func (h *Host) shouldOwn(lg *localGroup, eligible []peers.Peer, logUnreachable bool, now time.Time) bool {
 	rank := -1
-	order := peers.PreferenceOrder(lg.g.Name(), lg.g.Az(), candidates)
+	order := peers.PreferenceOrder(lg.g.Name(), lg.g.Az(), eligible)
 	for i, m := range order {
 		if m.ID == h.settings.Host.ID {
 			rank = i
@@ -84,7 +84,7 @@
 		return now.Sub(lg.preferredAt) < handoverDelay
 	}
 	lg.preferredAt = now
-	if h.hasOwner(lg.g.Name(), candidates, now) {
+	if h.hasOwner(lg.g.Name(), eligible, now) {
 		lg.ownerSeenAt = now
 		return false
 	}
@@ -94,9 +94,11 @@
 	return now.Sub(lg.ownerSeenAt) >= time.Duration(rank)*claimStagger
 }
 
-// hasOwner reports whether the group has a live owner that can write the group's
-// stream. An owner that is live but not eligible has lost its connection to the log.
-// Other hosts may claim its groups without waiting for it to detect this.
+// hasOwner reports whether the group has an owner that other hosts must wait for: it
+// has a live owner that is eligible or is not in the list of live hosts. In the second
+// case the owner is leaving, or its claim was read from the log recently. An owner that
+// is live but not eligible has lost its connection to the log. Other hosts may claim its
+// groups without waiting for it to detect this.
 func (h *Host) hasOwner(name string, eligible []peers.Peer, now time.Time) bool {
 	if !h.table.HasLiveOwner(name, now) {
 		return false
--- a/internal/node/entry/host.go
+++ b/internal/node/entry/host.go
@@ -2,16 +2,16 @@
 // callers and operators over HTTP, exchanges frames with the other entry hosts, and
 // runs the groups that it owns.
 //
-// All entry hosts are equal, and any of them may fail at any time. The host that
+// All entry hosts have the same role, and any of them may fail at any time. The host that
 // receives a request authenticates the caller and validates the request. It then
 // forwards the request to the host that owns the job's group or that serves the
-// chosen pool of targets, which executes it.
+// selected pool of targets.
 //
 // # Usage
 //
 //	h, err := entry.Start(entry.Config{Settings: settings, Logger: log})
 //	...
-//	h.Stop(ctx) // graceful: not ready, hand over groups, finish requests in flight
+//	h.Stop(ctx) // graceful: not ready, release groups, finish requests in flight
 package entry
 
 import (
@@ -39,7 +39,7 @@
 	"lagooncourse/internal/plat/worker"
 )
 
-// Config describes a Host.
+// Config holds the settings of a Host and the components that tests replace.
 type Config struct {
 	Settings Settings
 	Logger   logr.Logger
@@ -68,23 +68,23 @@
 	loops  sync.WaitGroup
 
 	mu       sync.Mutex
-	groups   map[string]*localGroup
-	pools    map[poolKey]*route.Pool
-	hostList hosts.List // newest host list of the platform
-	leaving  bool       // Stop was called
-	inFlight int        // requests from peers and calls to targets in flight
+	groups   map[string]*localGroup  // all groups of the cell, by name
+	pools    map[poolKey]*route.Pool // all pools of the cell; servedPools returns those that this host serves
+	hostList hosts.List              // newest host list of the platform
+	leaving  bool                    // Stop was called
+	inFlight int                     // peers' requests to groups of this host, and calls to targets, in flight
 }
 
 // poolKey identifies a pool of targets.
 type poolKey struct{ group, service string }
 
-// localGroup is a group of the cell, whether this host owns it or not, with the
+// localGroup is this host's instance of a group of the cell, owned or not, with the
 // state that decides whether this host should own it.
 type localGroup struct {
 	g           *owner.Group
 	cancel      context.CancelFunc
 	done        chan struct{} // closed when the group's loop has ended
-	ownerSeenAt time.Time     // last time at which the group had a live owner, or was first seen without one
+	ownerSeenAt time.Time     // start of the wait before a claim: when the group last had an owner, or was first checked
 	preferredAt time.Time     // last time at which this host was the preferred owner or did not own the group
 }
 
@@ -125,8 +125,8 @@
 	return h.peerServer.Listen()
 }
 
-// join creates the parts that need the addresses of the open listeners and starts
-// the host's loops.
+// join creates the membership table, which contains the addresses of the open
+// listeners, and the components that use the table, and starts the host's loops.
 func (h *Host) join() {
 	h.table = peers.NewTable(peers.Config{
 		Self: wire.Member{
@@ -140,8 +140,8 @@
 	machine := config.NewMachine()
 	h.follower = &configFollower{
 		log: h.cfg.Log, table: h.table, peerConns: h.peerConns, clock: h.clock, logger: h.log, freshFor: h.settings.Timing.FreshFor,
-		soleHost: len(h.settings.Host.Peers) == 0,
-		machine:  machine, replay: &stream.Replay{Stream: config.Stream, Machine: machine}, changed: make(chan struct{}),
+		noSeeds: len(h.settings.Host.Peers) == 0,
+		machine: machine, replay: &stream.Replay{Stream: config.Stream, Machine: machine}, changed: make(chan struct{}),
 	}
 	h.router = route.NewRouter(route.RouterConfig{Az: h.settings.Host.Az, Forwarder: h, Rand: newRand()})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -158,8 +158,8 @@
 }
 
 // bootNumber returns the incarnation number of a host that starts at t: the time
-// since 2026 in units of 50 ms. It takes 5 bytes in a heartbeat, where milliseconds
-// would take 9.
+// since 2026 in units of 50 ms. Until 2032 it fits in 32 bits, which take 5 bytes in a
+// heartbeat, where milliseconds would take 9.
 func bootNumber(t time.Time) int64 {
 	base := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	return t.Sub(base).Milliseconds() / 50
@@ -167,15 +167,15 @@
 
 // Intervals, timeouts and limits of the loops.
 const (
-	forgetAfter            = time.Minute
-	announceFanout         = 8 // peers that announce sends to
-	minDescriptionInterval = 500 * time.Millisecond
-	gossipTimeout          = time.Second
-	ownershipInterval      = 100 * time.Millisecond
+	forgetAfter            = time.Minute             // without a heartbeat, until a host is removed from the membership table
+	announceFanout         = 8                       // peers that announce sends to
+	minDescriptionInterval = 500 * time.Millisecond  // limits the gossip traffic for changes of the load
+	gossipTimeout          = time.Second             // for one exchange
+	ownershipInterval      = 100 * time.Millisecond  // between two decisions on ownership
 	claimDelay             = time.Second             // from the start to the first claim, to learn the current owners by gossip
-	handoverDelay          = 3 * time.Second         // until an owner hands over to a preferred host
+	handoverDelay          = 3 * time.Second         // until an owner releases a group for a preferred host, so that short changes of membership move no groups
 	claimStagger           = 1500 * time.Millisecond // delay of a claim per rank, to avoid concurrent claims
-	snapshotCheckInterval  = 5 * time.Second         // between two checks whether a snapshot is due
+	snapshotCheckInterval  = 5 * time.Second         // between two checks of whether a snapshot is due
 )
 
 // newRand returns a random generator with a random seed.
@@ -204,8 +204,8 @@
 	}
 }
 
-// gossipLoop increments the heartbeat and exchanges membership tables with random
-// peers.
+// gossipLoop increments the heartbeat and exchanges heartbeats and descriptions with
+// random peers.
 func (h *Host) gossipLoop(ctx context.Context) {
 	r := newRand()
 	runEvery(ctx, h.settings.Timing.Gossip, func(ctx context.Context) {
@@ -222,10 +222,11 @@
 	})
 }
 
-// updateHeartbeat increments the heartbeat and updates the load that it reports.
+// updateHeartbeat increments the heartbeat and updates the description of this host:
+// its groups, its pools and whether it is leaving.
 func (h *Host) updateHeartbeat() {
 	_, next := h.follower.Age()
-	groups, pools := h.ownedGroups(), h.servedPools()
+	groups, pools := h.groupInfos(), h.servedPools()
 	h.mu.Lock()
 	leaving := h.leaving
 	h.mu.Unlock()
@@ -254,10 +255,10 @@
 	}
 }
 
-// ownedGroups returns the descriptions of the groups that this host owns.
-func (h *Host) ownedGroups() []wire.Duty {
+// groupInfos returns the descriptions of the groups that this host owns.
+func (h *Host) groupInfos() []wire.Duty {
 	var groups []wire.Duty
-	for _, lg := range h.localGroups() {
+	for _, lg := range h.allGroups() {
 		if d, ok := lg.g.Duty(); ok {
 			groups = append(groups, d)
 		}
@@ -265,8 +266,8 @@
 	return groups
 }
 
-// localGroups returns all groups of the cell, whether this host owns them or not.
-func (h *Host) localGroups() []*localGroup {
+// allGroups returns all groups of the cell, whether this host owns them or not.
+func (h *Host) allGroups() []*localGroup {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	list := make([]*localGroup, 0, len(h.groups))
@@ -304,19 +305,20 @@
 	if ctx.Err() == nil && !h.leaving {
 		for name, az := range azs {
 			if h.groups[name] == nil {
-				h.groups[name] = h.newGroup(name, az)
+				h.groups[name] = h.startGroup(name, az)
 			}
 		}
 	}
 	h.mu.Unlock()
-	for _, lg := range h.localGroups() {
+	for _, lg := range h.allGroups() {
 		lg.g.SetWorkers(workers[lg.g.Name()])
 	}
 	h.syncPools(list)
 }
 
-// newGroup starts the loop of a group. This host does not own the group yet.
-func (h *Host) newGroup(name, az string) *localGroup {
+// startGroup creates a group and starts its loop, which runs until lg.cancel is called.
+// This host does not own the group yet.
+func (h *Host) startGroup(name, az string) *localGroup {
 	ctx, cancel := context.WithCancel(context.Background())
 	g := owner.New(owner.Config{
 		Name: name, Az: az, Self: group.Holder{Host: h.settings.Host.ID, Addr: h.peerServer.Addr()},
@@ -334,8 +336,9 @@
 	return lg
 }
 
-// snapshotLoop appends snapshots of the configuration if this host has the lowest
-// id of all live hosts.
+// snapshotLoop appends a snapshot of the configuration when one is due. Only the live
+// host with the lowest id does so, so that normally one host appends it. The limits are
+// the same as for a group's stream.
 func (h *Host) snapshotLoop(ctx context.Context) {
 	last := h.clock.Now()
 	runEvery(ctx, snapshotCheckInterval, func(ctx context.Context) {
@@ -352,7 +355,8 @@
 	})
 }
 
-// syncPools creates and updates the pools of targets from the host list.
+// syncPools creates pools for new groups and services in the host list and sets the
+// targets of all pools. A pool without targets is kept.
 func (h *Host) syncPools(list hosts.List) {
 	targets := map[poolKey][]hosts.Target{}
 	azs := map[string]string{}
@@ -379,9 +383,9 @@
 	return target.NewClient(target.ClientConfig{ID: t.ID, URL: t.URL, Conns: t.Slots})
 }
 
-// Stop shuts the host down gracefully: it reports not ready, hands its groups over,
+// Stop shuts the host down gracefully: it reports not ready, releases its groups,
 // finishes the requests in flight and closes. It returns an error if ctx ends
-// before all requests have finished.
+// before all HTTP requests have finished. Unfinished requests of peers cause no error.
 func (h *Host) Stop(ctx context.Context) (err error) {
 	defer fault.Note(&err, "stop entry host %q", h.settings.Host.ID)
 	h.mu.Lock()
@@ -397,9 +401,10 @@
 	return err
 }
 
-// releaseGroups hands over all groups and waits for their loops to end.
+// releaseGroups stops the loops of all groups, which releases the owned ones, and waits
+// until the loops have ended or ctx ends.
 func (h *Host) releaseGroups(ctx context.Context) {
-	list := h.localGroups()
+	list := h.allGroups()
 	for _, lg := range list {
 		lg.cancel()
 	}
@@ -413,9 +418,9 @@
 
 const drainPollInterval = 20 * time.Millisecond
 
-// drain waits until the load balancer and the peers have had time to see that this
-// host is leaving, and until no request from a peer or call to a target is in
-// flight.
+// drain waits for NotReady or two gossip intervals, whichever is longer, so that the
+// load balancer and the peers detect that this host is leaving, and until h.inFlight is
+// 0. It returns early if ctx ends.
 func (h *Host) drain(ctx context.Context) {
 	earliestEnd := h.clock.Now().Add(max(h.settings.Timing.NotReady, 2*h.settings.Timing.Gossip))
 	for {
@@ -448,8 +453,8 @@
 	}
 }
 
-// Kill stops the host immediately, like a crash: it hands no group over and breaks
-// every connection.
+// Kill stops the host immediately, as in a crash: it releases no group and closes the
+// connections of callers and peers. Tests and a failed Start use it.
 func (h *Host) Kill() {
 	if h.api != nil {
 		h.api.Close()
@@ -461,7 +466,7 @@
 	if h.cancel != nil {
 		h.cancel()
 	}
-	for _, lg := range h.localGroups() {
+	for _, lg := range h.allGroups() {
 		lg.g.Abort()
 		lg.cancel()
 	}
--- a/internal/node/entry/jobs.go
+++ b/internal/node/entry/jobs.go
@@ -35,7 +35,7 @@
 	if spec.Submission == "" {
 		spec = spec.WithSubmission(rand.Text())
 	}
-	if err := h.admit(spec); err != nil {
+	if err := h.checkSpec(spec); err != nil {
 		return j, err
 	}
 	name := homeGroup(h.groupNames(), team, spec.Submission)
@@ -51,9 +51,10 @@
 	return groupNames(h.hostList, h.settings.Platform.GroupsInAz)
 }
 
-// admit returns an error for a job that is invalid, that its team may not run, or
-// that can never run on the workers of the cell.
-func (h *Host) admit(spec jobs.Spec) error {
+// checkSpec returns an error if the job is invalid, if its team may not use its queue or
+// availability zone, if it exceeds the team's limit, or if no worker is large enough
+// for one of its tasks.
+func (h *Host) checkSpec(spec jobs.Spec) error {
 	if err := spec.Check(); err != nil {
 		return err
 	}
@@ -71,19 +72,19 @@
 		need = spec.Total()
 	}
 	if !need.Fits(limit) {
-		return infeasible("size", need, "exceeds the limit of team "+spec.Team+", "+limit.String())
+		return infeasibleError("size", need, "exceeds the limit of team "+spec.Team+", "+limit.String())
 	}
-	return h.feasible(spec)
+	return h.checkFeasible(spec)
 }
 
-// infeasible returns an error for a job that can never run because of the given field.
-func infeasible(field string, value jobs.Size, detail string) error {
+// infeasibleError returns an error for a job that can never run because of the given field.
+func infeasibleError(field string, value jobs.Size, detail string) error {
 	return &fault.Error{Code: fault.Infeasible, Ran: fault.NotRun, Field: field, Value: value.String(), Detail: detail}
 }
 
-// feasible returns an error if no worker in the host list is large enough for a task
-// of the job.
-func (h *Host) feasible(spec jobs.Spec) error {
+// checkFeasible returns an error if no worker in the host list is large enough for a
+// task of the job, or if the host list has not been read yet.
+func (h *Host) checkFeasible(spec jobs.Spec) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if len(h.hostList.Workers) == 0 {
@@ -95,7 +96,7 @@
 			return nil
 		}
 	}
-	return infeasible("size", spec.Size, "no worker of the cell is large enough")
+	return infeasibleError("size", spec.Size, "no worker of the cell is large enough")
 }
 
 // getJob returns a job. If the request sets waitMs, it responds when the job has
@@ -129,23 +130,22 @@
 	return id, nil
 }
 
-// queryInt parses an integer query parameter between 0 and most. It returns 0 if the
+// queryInt parses an integer query parameter between 0 and limit. It returns 0 if the
 // parameter is missing.
-func queryInt(r *http.Request, name string, most int64) (int64, error) {
+func queryInt(r *http.Request, name string, limit int64) (int64, error) {
 	text := r.URL.Query().Get(name)
 	if text == "" {
 		return 0, nil
 	}
 	n, err := strconv.ParseInt(text, 10, 64)
-	if err != nil || n < 0 || n > most {
-		return 0, fault.Field(name, text, "must lie between 0 and %d", most)
+	if err != nil || n < 0 || n > limit {
+		return 0, fault.Field(name, text, "must lie between 0 and %d", limit)
 	}
 	return n, nil
 }
 
-// readJob returns a job if the request may read it: the job belongs to the request's
-// team, or the request comes from an operator. It waits up to waitMs for the job's
-// end.
+// readJob returns a job if it belongs to the request's team or the request comes from
+// an operator, who needs no team key. It waits up to waitMs for the job's end.
 func (h *Host) readJob(r *http.Request, id jobs.ID, waitMs int64) (s wire.StatusAnswer, err error) {
 	team, err := h.requestTeam(r)
 	if err != nil && h.checkOperator(r) != nil {
@@ -168,14 +168,14 @@
 func (h *Host) waitForEnd(ctx context.Context, s wire.StatusAnswer, waitMs int64) (wire.StatusAnswer, error) {
 	deadline := h.clock.Now().Add(time.Duration(waitMs) * time.Millisecond)
 	for !s.Job.Ended() {
-		left := deadline.Sub(h.clock.Now()).Milliseconds()
-		if left <= 0 {
+		remaining := deadline.Sub(h.clock.Now()).Milliseconds()
+		if remaining <= 0 {
 			return s, nil
 		}
-		msg := wire.StatusMsg{Job: s.Job.ID, WaitMs: min(left, maxOwnerStatusWait.Milliseconds())}
-		next, err := callOwner(ctx, h, groupOfJob(s.Job.ID), wire.Status, msg, (*owner.Group).Status)
+		msg := wire.StatusMsg{Job: s.Job.ID, WaitMs: min(remaining, maxOwnerStatusWait.Milliseconds())}
+		status, err := callOwner(ctx, h, groupOfJob(s.Job.ID), wire.Status, msg, (*owner.Group).Status)
 		if err == nil {
-			s = next
+			s = status
 			continue
 		}
 		select {
@@ -187,8 +187,8 @@
 	return s, nil
 }
 
-// maxOwnerStatusWait limits a single wait at a group's owner, so that the failure of
-// an owner is detected.
+// maxOwnerStatusWait limits one status request to a group's owner, so that a wait
+// continues with the new owner soon after a takeover.
 const maxOwnerStatusWait = 2 * time.Second
 
 // postCancel cancels a job.
@@ -206,16 +206,17 @@
 	return JobAnswer{Job: j, State: j.State()}, err
 }
 
-// JobList is a list of jobs without their payloads.
+// JobList lists jobs without their payloads, at most maxListJobs of each group.
 type JobList struct {
 	Jobs []JobAnswer `json:"jobs"`
 }
 
-// getJobs lists the jobs of the request's team, or of all teams if an operator sends
-// the request without a key.
+// getJobs lists the jobs of the request's team. It lists those of all teams if the
+// request has no key and comes from an operator, which is possible only if no
+// operators' key is set.
 func (h *Host) getJobs(r *http.Request) (l JobList, err error) {
 	team := ""
-	if h.checkOperator(r) != nil || bearerToken(r) != "" {
+	if h.checkOperator(r) != nil || requestKey(r) != "" {
 		if team, err = h.requestTeam(r); err != nil {
 			return l, err
 		}
--- a/internal/node/entry/metrics.go
+++ b/internal/node/entry/metrics.go
@@ -9,8 +9,8 @@
 	"lagooncourse/internal/base/fault"
 )
 
-// metrics holds the metrics of a host. Gauges and group metrics are read from the
-// host at each scrape and are not stored separately.
+// metrics holds the counters of a host and the registry. All other values are read
+// from the host at each scrape.
 type metrics struct {
 	registry *prometheus.Registry
 	requests *prometheus.CounterVec
@@ -51,7 +51,8 @@
 	return m
 }
 
-// registerGauge registers a gauge whose value is read at each scrape.
+// registerGauge registers a gauge whose value is read at each scrape. The totals of sent
+// bytes are also registered as gauges, because the host itself counts them.
 func (m *metrics) registerGauge(name, help string, read func() float64) {
 	m.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Namespace: metricPrefix, Name: name, Help: help,
@@ -59,8 +60,8 @@
 }
 
 // countCall counts a call by service and outcome.
-func (m *metrics) countCall(service string, ran fault.Outcome) {
-	m.calls.WithLabelValues(service, string(ran)).Inc()
+func (m *metrics) countCall(service string, outcome fault.Outcome) {
+	m.calls.WithLabelValues(service, string(outcome)).Inc()
 }
 
 // countRequests wraps a handler to count its responses by route and status.
@@ -93,27 +94,27 @@
 var _ prometheus.Collector = (*groupCollector)(nil)
 
 var (
-	groupLabels  = []string{"group"}
-	descEpoch    = prometheus.NewDesc(metricPrefix+"_group_epoch", "Epoch of an owned group.", groupLabels, nil)
-	descQueued   = prometheus.NewDesc(metricPrefix+"_group_queued", "Items waiting in an owned group.", groupLabels, nil)
-	descJobs     = prometheus.NewDesc(metricPrefix+"_group_jobs", "Jobs remembered by an owned group.", groupLabels, nil)
-	descPending  = prometheus.NewDesc(metricPrefix+"_group_pending", "Changes that wait for the log.", groupLabels, nil)
-	descCommits  = prometheus.NewDesc(metricPrefix+"_group_commits_total", "Batches committed.", groupLabels, nil)
-	descStarts   = prometheus.NewDesc(metricPrefix+"_group_starts_total", "Attempts started.", groupLabels, nil)
-	descTakeover = prometheus.NewDesc(metricPrefix+"_group_takeovers_total", "Claims won.", groupLabels, nil)
-	descLost     = prometheus.NewDesc(metricPrefix+"_group_lost_workers", "Workers whose lease has run out.", groupLabels, nil)
+	groupLabels     = []string{"group"}
+	descEpoch       = prometheus.NewDesc(metricPrefix+"_group_epoch", "Epoch of an owned group.", groupLabels, nil)
+	descQueued      = prometheus.NewDesc(metricPrefix+"_group_queued", "Items waiting in an owned group.", groupLabels, nil)
+	descJobs        = prometheus.NewDesc(metricPrefix+"_group_jobs", "Jobs remembered by an owned group.", groupLabels, nil)
+	descPending     = prometheus.NewDesc(metricPrefix+"_group_pending", "Changes that wait for the log.", groupLabels, nil)
+	descCommits     = prometheus.NewDesc(metricPrefix+"_group_commits_total", "Batches committed.", groupLabels, nil)
+	descStarts      = prometheus.NewDesc(metricPrefix+"_group_starts_total", "Attempts started.", groupLabels, nil)
+	descTakeovers   = prometheus.NewDesc(metricPrefix+"_group_takeovers_total", "Claims won.", groupLabels, nil)
+	descLostWorkers = prometheus.NewDesc(metricPrefix+"_group_lost_workers", "Workers whose lease has run out.", groupLabels, nil)
 )
 
 // Describe implements prometheus.Collector.
 func (c *groupCollector) Describe(ch chan<- *prometheus.Desc) {
-	for _, d := range []*prometheus.Desc{descEpoch, descQueued, descJobs, descPending, descCommits, descStarts, descTakeover, descLost} {
+	for _, d := range []*prometheus.Desc{descEpoch, descQueued, descJobs, descPending, descCommits, descStarts, descTakeovers, descLostWorkers} {
 		ch <- d
 	}
 }
 
 // Collect implements prometheus.Collector.
 func (c *groupCollector) Collect(ch chan<- prometheus.Metric) {
-	for _, lg := range c.h.localGroups() {
+	for _, lg := range c.h.allGroups() {
 		d := lg.g.Dump()
 		if d.Epoch == 0 {
 			continue
@@ -133,7 +134,7 @@
 		emit(descPending, prometheus.GaugeValue, float64(d.Pending))
 		emit(descCommits, prometheus.CounterValue, float64(d.Stats.Commits))
 		emit(descStarts, prometheus.CounterValue, float64(d.Stats.Starts))
-		emit(descTakeover, prometheus.CounterValue, float64(d.Stats.Takeover))
-		emit(descLost, prometheus.GaugeValue, float64(lost))
+		emit(descTakeovers, prometheus.CounterValue, float64(d.Stats.Takeover))
+		emit(descLostWorkers, prometheus.GaugeValue, float64(lost))
 	}
 }
--- a/internal/node/entry/remote.go
+++ b/internal/node/entry/remote.go
@@ -90,22 +90,23 @@
 	return groups
 }
 
-// MayClaim records the owner that was read from the log, and reports whether the
-// group has no live owner that can write its stream.
+// MayClaim implements owner.Remote. It records the holder and epoch of the newest claim
+// that the group has read from its stream, and reports whether the group has no owner
+// that other hosts must wait for.
 func (r *remote) MayClaim(name string, epoch uint64, holder group.Holder) bool {
 	now := r.h.clock.Now()
 	r.h.table.RecordClaim(name, peers.Owner{Host: holder.Host, Addr: holder.Addr, Epoch: epoch}, now)
-	return !r.h.hasOwner(name, r.h.eligible(now), now)
+	return !r.h.hasOwner(name, r.h.eligibleHosts(now), now)
 }
 
 // Retries of requests while a group has no owner.
 const (
 	ownerRetryInterval = 100 * time.Millisecond
-	maxOwnerWait       = 8 * time.Second // maximum time until the group has an owner
+	maxOwnerWait       = 8 * time.Second // maximum time that a request waits for an owner
 )
 
-// retryUntilOwner retries fn while the group's owner cannot be reached, for up to
-// maxOwnerWait. It retries only if fn certainly had no effect.
+// retryUntilOwner retries fn while it fails because the group has no reachable owner,
+// for up to maxOwnerWait. It does not retry if fn may have had an effect.
 func retryUntilOwner[T any](ctx context.Context, fn func(context.Context) (T, error)) (v T, err error) {
 	ctx, cancel := context.WithTimeout(ctx, maxOwnerWait)
 	defer cancel()
@@ -147,20 +148,22 @@
 	handleOwned(h, wire.Where, func(m wire.WhereMsg) string { return m.Group }, (*owner.Group).Where)
 	handleOwned(h, wire.Report, func(m wire.ReportMsg) string { return m.Group }, (*owner.Group).Report)
 	handleOwned(h, wire.Once, func(m wire.CallMsg) string { return m.Group }, h.onceLocal)
+	// Serve needs no owner: calls continue while the log is unavailable.
 	frame.Handle(s, wire.Serve, h.serveLocal)
 }
 
-// handleOwned registers a handler that calls fn with the group that the request
-// names. It returns NotOwner if this host does not own the group.
+// handleOwned registers a handler for requests to a group. The handler calls fn with
+// the group that groupName returns, or fails with NotOwner if this host does not own
+// the group.
 func handleOwned[Req, Resp any](
-	h *Host, m frame.Method[Req, Resp], name func(Req) string,
+	h *Host, m frame.Method[Req, Resp], groupName func(Req) string,
 	fn func(*owner.Group, context.Context, Req) (Resp, error),
 ) {
 	frame.Handle(h.peerServer, m, func(ctx context.Context, req Req) (resp Resp, err error) {
 		defer h.trackRequest()()
-		g := h.ownedGroup(name(req))
+		g := h.ownedGroup(groupName(req))
 		if g == nil {
-			return resp, fault.New(fault.NotOwner, fault.NotRun, "host %q does not own group %q", h.settings.Host.ID, name(req))
+			return resp, fault.New(fault.NotOwner, fault.NotRun, "host %q does not own group %q", h.settings.Host.ID, groupName(req))
 		}
 		return fn(g, ctx, req)
 	})
@@ -196,8 +199,8 @@
 	return g.Once(ctx, m, dispatcher{h.router})
 }
 
-// dispatcher sends calls that must run at most once through the router, which then
-// retries only attempts that did not run.
+// dispatcher sends calls through the router as not idempotent, so that the router
+// retries a call only if the previous attempt certainly did not run.
 type dispatcher struct{ r *route.Router }
 
 var _ owner.Dispatcher = dispatcher{}
@@ -208,8 +211,8 @@
 	return d.r.Call(ctx, msg)
 }
 
-// servedPools returns the pools that this host serves: those for which it is the
-// most preferred live host.
+// servedPools returns the load of the pools that this host serves: those of the groups
+// for which it is the first live host in the order of preference.
 func (h *Host) servedPools() []wire.Pool {
 	live := h.table.Live(h.clock.Now())
 	h.mu.Lock()
@@ -228,7 +231,7 @@
 	return list
 }
 
-// Pools implements route.Forwarder.
+// Pools implements route.Forwarder. It returns the pools that live hosts report.
 func (h *Host) Pools() []wire.Pool {
 	var list []wire.Pool
 	for _, m := range h.table.Live(h.clock.Now()) {
@@ -237,8 +240,8 @@
 	return list
 }
 
-// Serve implements route.Forwarder. It sends the call to the host that serves the
-// pool.
+// Serve implements route.Forwarder. It sends the call to the first live host, by id,
+// that reports that it serves the pool.
 func (h *Host) Serve(ctx context.Context, msg wire.CallMsg) (wire.CallAnswer, error) {
 	for _, m := range h.table.Live(h.clock.Now()) {
 		for _, p := range m.Pools {
@@ -254,7 +257,8 @@
 	return wire.CallAnswer{}, fault.New(fault.Unavailable, fault.NotRun, "no host serves group %q", msg.Group)
 }
 
-// serveLocal sends a call to a target of one of this host's pools.
+// serveLocal sends a call to a target of the pool, whether or not this host is the one
+// that should serve it.
 func (h *Host) serveLocal(ctx context.Context, msg wire.CallMsg) (wire.CallAnswer, error) {
 	defer h.trackRequest()()
 	h.mu.Lock()
