--- a/internal/plat/stream/replay.go
+++ b/internal/plat/stream/replay.go
@@ -23,7 +23,7 @@
 // A snapshot needs no fencing: it is a function of the records up to UpTo, no
 // matter which process wrote it and when, and a reader that already has the
 // state ignores it. A reader that starts in the middle of a stream restores a
-// snapshot only if it also has every record after UpTo.
+// snapshot only if it has read every record between UpTo and the snapshot.
 type entry struct {
 	Record   []byte
 	Snapshot []byte
@@ -40,11 +40,11 @@
 	Machine Machine
 
 	next      int64    // offset of the next record
-	started   bool     // the machine has the state before next
-	buffered  []Record // machine records read while not started
-	bytes     int64    // size of the records since the last snapshot
-	records   int64    // number of records since the last snapshot
-	corrupted int64    // number of records that could not be decoded
+	ready     bool     // the machine has the state after all records before next
+	buffered  []Record // machine records read while not ready
+	bytes     int64    // total size of the records counted by records
+	records   int64    // number of records since the last usable snapshot; see SinceSnapshot
+	corrupted int64    // number of records and snapshots that could not be decoded or restored
 }
 
 // Next returns the offset of the next record to read.
@@ -52,14 +52,15 @@
 
 // Ready reports whether the machine has the state of the stream. If the start of
 // the stream has expired, this is false until a usable snapshot has been read.
-func (r *Replay) Ready() bool { return r.started }
+func (r *Replay) Ready() bool { return r.ready }
 
-// SinceSnapshot returns the number and the total size of the records since the
-// newest snapshot.
+// SinceSnapshot returns the number and the total size of the records read since
+// the last usable snapshot. Snapshots that were ignored while the machine had no
+// state, or that could not be restored, count as records.
 func (r *Replay) SinceSnapshot() (records, bytes int64) { return r.records, r.bytes }
 
-// Corrupted returns how many records were skipped because they could not be
-// decoded.
+// Corrupted returns how many records and snapshots were skipped because they
+// could not be decoded or restored.
 func (r *Replay) Corrupted() int64 { return r.corrupted }
 
 // Take applies one page. It reports whether the page reached the end of the
@@ -67,26 +68,28 @@
 //
 // If records between the last applied one and the page have expired, the reader
 // was too slow: the state is discarded and rebuilt from the next snapshot.
-func (r *Replay) Take(p Page) (atHead bool) {
+func (r *Replay) Take(p Page) (atEnd bool) {
 	if p.First > r.next {
 		r.next = p.First
-		r.started = false
+		r.ready = false
 		r.buffered = nil
 	}
 	if r.next == 0 {
-		r.started = true
+		r.ready = true
 	}
 	for _, rec := range p.Records {
 		if rec.Offset != r.next {
 			continue
 		}
 		r.next++
-		r.take(rec)
+		r.applyRecord(rec)
 	}
 	return r.next >= p.Next
 }
 
-func (r *Replay) take(rec Record) {
+// applyRecord decodes a record and applies it to the machine, or buffers it while
+// the machine has no state.
+func (r *Replay) applyRecord(rec Record) {
 	e, err := frame.Decode[entry](rec.Data)
 	if err != nil {
 		r.corrupted++
@@ -95,20 +98,22 @@
 	r.records++
 	r.bytes += int64(len(rec.Data))
 	if e.Snapshot != nil {
-		r.takeSnapshot(e)
+		r.applySnapshot(e)
 		return
 	}
-	if !r.started {
+	if !r.ready {
 		r.buffered = append(r.buffered, Record{Offset: rec.Offset, Data: e.Record})
 		return
 	}
 	r.Machine.Apply(rec.Offset, e.Record)
 }
 
-// takeSnapshot restores the machine from the snapshot if the machine has no
-// state yet and all records after the snapshot are buffered.
-func (r *Replay) takeSnapshot(e entry) {
-	if r.started {
+// applySnapshot only resets the counters if the machine has its state. Otherwise it
+// restores the machine if the first buffered record is at or before UpTo+1, and
+// applies the buffered records after UpTo. It ignores a snapshot that is read
+// before any machine record, although no record after UpTo may be missing.
+func (r *Replay) applySnapshot(e entry) {
+	if r.ready {
 		r.records, r.bytes = 0, 0
 		return
 	}
@@ -128,7 +133,7 @@
 			r.Machine.Apply(rec.Offset, rec.Data)
 		}
 	}
-	r.started, r.buffered = true, nil
+	r.ready, r.buffered = true, nil
 	r.records, r.bytes = 0, 0
 }
 
--- a/internal/plat/stream/replay_test.go
+++ b/internal/plat/stream/replay_test.go
@@ -80,11 +80,11 @@
 	first := rapid.Int64Range(0, int64(len(tp.data))).Draw(t, "first")
 	m := &history{}
 	r := &Replay{Machine: m}
-	atHead := false
+	atEnd := false
 	for range len(tp.data) + 1 {
-		atHead = r.Take(tp.page(r.Next(), first, rapid.IntRange(1, 5).Draw(t, "page")))
+		atEnd = r.Take(tp.page(r.Next(), first, rapid.IntRange(1, 5).Draw(t, "page")))
 	}
-	assert.Assert(t, atHead)
+	assert.Assert(t, atEnd)
 	if first == 0 {
 		assert.Assert(t, r.Ready())
 	}
--- a/internal/plat/stream/stream.go
+++ b/internal/plat/stream/stream.go
@@ -1,5 +1,5 @@
 // Package stream is the adapter to the platform's log service, which is the
-// only durable storage of the system.
+// only durable storage of packages owner and entry.
 //
 // The log holds named streams of records. A record's offset is its position in
 // the stream, counted from 0. The service guarantees only the order of the
@@ -61,7 +61,7 @@
 // ClientConfig is the configuration of a Client.
 type ClientConfig struct {
 	URL     string        // base URL of the service
-	Timeout time.Duration // of one request, excluding its Wait; 0 means 2 s
+	Timeout time.Duration // timeout of one request, in addition to its Wait; 0 means 2 s
 }
 
 const (
