--- a/internal/plat/hosts/hosts.go
+++ b/internal/plat/hosts/hosts.go
@@ -1,7 +1,7 @@
-// Package hosts is the adapter to the platform's list of live and leaving
-// hosts. The list is eventually consistent and lags by seconds. Use it to find
-// hosts and to stop using them, but not as evidence that a host has stopped
-// running its tasks.
+// Package hosts is the adapter to the platform's list of workers and executors,
+// here called hosts. Entry hosts are not in the list. The list is eventually
+// consistent and lags by seconds. Use it to find hosts and to stop using them, but
+// not as evidence that a host has stopped running its tasks.
 //
 // # Usage
 //
@@ -25,7 +25,7 @@
 // Host states. A host that is not in the list is gone.
 const (
 	Live    State = "live"
-	Leaving State = "leaving"
+	Leaving State = "leaving" // gets no new work
 )
 
 // Worker describes a worker. CPU is in millicores, Mem in MiB and Accel in
@@ -48,8 +48,8 @@
 	Az      string `json:"az"`
 	Rack    string `json:"rack"`
 	URL     string `json:"url"`
-	Slots   int    `json:"slots"`
-	Conns   int    `json:"conns"`
+	Slots   int    `json:"slots"` // maximum number of concurrent calls
+	Conns   int    `json:"conns"` // maximum number of open connections
 	State   State  `json:"state"`
 }
 
@@ -67,13 +67,13 @@
 // ClientConfig is the configuration of a Client.
 type ClientConfig struct {
 	URLs    []string      // base URLs; each serves a part of the list at /hosts
-	Timeout time.Duration // of one request; 0 means 1 s
+	Timeout time.Duration // timeout of one request; 0 means 1 s
 }
 
 const defaultTimeout = time.Second
 
 // Client is a Lister over HTTP. It caches the last answer of each part and uses
-// it while that part does not answer.
+// it while that part does not answer. It is not safe for concurrent use.
 type Client struct {
 	cfg  ClientConfig
 	last []List
@@ -95,7 +95,7 @@
 	answered := 0
 	var firstErr error
 	for i, u := range c.cfg.URLs {
-		part, err := c.part(ctx, u)
+		part, err := c.fetchPart(ctx, u)
 		if err == nil {
 			answered++
 			c.last[i] = part
@@ -113,7 +113,8 @@
 	return l, nil
 }
 
-func (c *Client) part(ctx context.Context, url string) (List, error) {
+// fetchPart reads the part of the list that is served at url.
+func (c *Client) fetchPart(ctx context.Context, url string) (List, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.cfg.Timeout)
 	defer cancel()
 	return httpd.Exchange[List](ctx, http.MethodGet, url+"/hosts", nil)
--- a/internal/plat/target/target.go
+++ b/internal/plat/target/target.go
@@ -3,8 +3,8 @@
 //
 // A faulty executor may answer late, send the answer to another request, or
 // truncate an answer. The client accepts an answer only if it has the ID of the
-// request and its body matches the length and checksum headers. It rejects any
-// other answer with an error. Once a request has obtained a connection, its
+// request, is complete, and has a body that matches the checksum header. It rejects
+// any other answer with an error. Once a request has obtained a connection, its
 // outcome is Unknown unless the executor states that it did not run.
 //
 // # Usage
@@ -37,12 +37,13 @@
 	HeaderChecksum = "X-Body-Checksum" // xxhash64 of the body, in hexadecimal
 )
 
-// MaxBodyBytes is the size limit of request and answer bodies.
+// MaxBodyBytes is the size limit of request and answer bodies. Client checks only
+// the answers.
 const MaxBodyBytes = 4 << 20
 
 // Request is one call.
 type Request struct {
-	ID      string // unique in the fleet; the answer has the same ID
+	ID      string // unique among all requests; the answer has the same ID
 	Service string
 	Body    []byte
 }
@@ -60,7 +61,7 @@
 
 // ClientConfig is the configuration of a Client.
 type ClientConfig struct {
-	ID    string // name of the circuit breaker
+	ID    string // ID of the executor; also the name of its circuit breaker
 	URL   string
 	Conns int // maximum number of open connections; 0 means 8
 }
@@ -126,8 +127,8 @@
 }
 
 // read checks that resp is the complete answer to the request id and returns
-// it. It does not read an answer to another request, so that the transport
-// closes the connection.
+// it. If resp answers another request, read leaves the body unread, so that the
+// transport closes the connection, and also closes the idle connections.
 func (c *Client) read(resp *http.Response, id string) (a Answer, err error) {
 	if got := resp.Header.Get(HeaderID); got != id {
 		c.transport.CloseIdleConnections()
@@ -140,8 +141,8 @@
 	if len(body) > MaxBodyBytes {
 		return a, fault.New(fault.BadAnswer, fault.Unknown, "answer is longer than %d bytes", MaxBodyBytes)
 	}
-	if got, want := resp.Header.Get(HeaderChecksum), Checksum(body); got != want {
-		return a, fault.New(fault.BadAnswer, fault.Unknown, "answer body has checksum %q, header says %q", want, got)
+	if header, actual := resp.Header.Get(HeaderChecksum), Checksum(body); header != actual {
+		return a, fault.New(fault.BadAnswer, fault.Unknown, "answer body has checksum %q, header says %q", actual, header)
 	}
 	if resp.StatusCode >= http.StatusInternalServerError {
 		return a, refusal(resp.StatusCode, body)
@@ -149,8 +150,8 @@
 	return Answer{Body: body, Status: resp.StatusCode}, nil
 }
 
-// refusal converts an executor's error answer into an error with the outcome
-// that the executor states.
+// refusal returns the error for an answer with a status of 500 or more. Its outcome
+// is NotRun if the executor states so, otherwise Unknown.
 func refusal(status int, body []byte) error {
 	var e fault.Error
 	if err := json.Unmarshal(body, &e); err == nil && e.Ran == fault.NotRun {
