--- a/internal/plat/ports/ports.go
+++ b/internal/plat/ports/ports.go
@@ -3,11 +3,11 @@
 // advice service.
 //
 // The scheduler uses only these types. An adapter translates names and formats
-// and makes no decisions: it does not wait, retry or choose between servers.
-// Errors wrap a *RefusedError, *GoneError or *fault.Error. Outcome NotRun means
+// and makes no decisions: it does not retry, delay requests or choose between
+// servers. Errors wrap a *RefusedError, *GoneError or *fault.Error. Outcome NotRun means
 // that the request had no effect, for example because no connection could be
-// made. Unknown means that the request may have been carried out, or may still
-// be.
+// made. Unknown means that the request may have been carried out, or may be
+// carried out later.
 //
 // # Usage
 //
@@ -36,7 +36,7 @@
 	Topic   string
 	Writer  string // producer id for fencing; empty for an unfenced append
 	Epoch   int64  // epoch of the writer; the store refuses an epoch below the highest it has seen
-	Seq     int64  // sequence number of the append within the epoch, from 0
+	Seq     int64  // sequence number of the append within the epoch; increases by 1 with each append
 	Records []Record
 }
 
@@ -45,14 +45,14 @@
 
 // Refusal reasons.
 const (
-	RefusedFence    Refusal = "fence"    // stale fencing token or epoch
+	RefusedFence    Refusal = "fence"    // stale fencing token (worker) or epoch (store)
 	RefusedSequence Refusal = "sequence" // gap in the sequence numbers of the writer
 	RefusedOld      Refusal = "old"      // a run with this number or a higher one has ended on the worker
-	RefusedLate     Refusal = "late"     // the lease ended before the order arrived
+	RefusedLate     Refusal = "late"     // the lease end in the order had passed when the order arrived
 	RefusedRoom     Refusal = "room"     // not enough free capacity for the task
 	RefusedTicket   Refusal = "ticket"   // the ticket is missing or has expired
 	RefusedReborn   Refusal = "reborn"   // the worker has restarted: another incarnation has the address
-	RefusedBusy     Refusal = "busy"     // overloaded or unhealthy
+	RefusedBusy     Refusal = "busy"     // the store or worker is overloaded or unhealthy
 	RefusedOther    Refusal = "other"
 )
 
@@ -105,8 +105,13 @@
 
 // Store is the platform's durable log.
 type Store interface {
+	// Append appends the records atomically and returns the offset of the first.
 	Append(ctx context.Context, req AppendRequest) (offset int64, err error)
+	// Read returns records from req.From on. If they have expired, the error is a
+	// *GoneError.
 	Read(ctx context.Context, req ReadRequest) (Page, error)
+	// Newest returns one page with the newest record of each key, starting after
+	// the key given by after.
 	Newest(ctx context.Context, topic, after string) (Newest, error)
 }
 
@@ -129,7 +134,8 @@
 	return all, end, nil
 }
 
-// Peer identifies one incarnation of a worker and its address.
+// Peer is the ID and the address of a worker. A worker with another ID at the
+// address refuses the request with RefusedReborn.
 type Peer struct {
 	ID   string
 	Addr string
@@ -138,9 +144,9 @@
 // StartOrder orders a worker to run a task.
 type StartOrder struct {
 	Peer     Peer
-	Token    int64 // fencing token
-	Task     string
-	Run      int
+	Token    int64  // fencing token
+	Task     string // task reference; see package sched
+	Run      int    // number of the run of the task
 	Payload  string
 	LeaseEnd int64  // on the worker's clock, in milliseconds
 	Saved    string // checkpoint to resume from
@@ -150,7 +156,7 @@
 // StopOrder ends a run of a task.
 type StopOrder struct {
 	Peer  Peer
-	Token int64
+	Token int64 // fencing token
 	Task  string
 	Run   int
 }
@@ -159,9 +165,9 @@
 // for the lists of running and finished runs.
 type HoldRequest struct {
 	Peer     Peer
-	Token    int64
+	Token    int64         // fencing token
 	LeaseEnd int64         // on the worker's clock, in milliseconds; 0 does not renew the lease
-	Seen     int64         // acknowledges finished runs up to this number; the worker may drop them
+	Seen     int64         // acknowledges the finished runs with numbers up to this one; the worker may drop them
 	Wait     time.Duration // long poll: how long the worker may wait for a change
 }
 
@@ -192,8 +198,8 @@
 	Tickets map[string]string // by worker; a start order carries the ticket of its worker
 }
 
-// Adviser is the platform's advice service, which decides the workers that may
-// run a step.
+// Adviser is the platform's advice service, which decides which workers may run a
+// step.
 type Adviser interface {
 	Advise(ctx context.Context, r AdviceRequest) (Advice, error)
 }
@@ -224,8 +230,8 @@
 
 // Limits holds the limits of HTTP requests from callers.
 type Limits struct {
-	BodyBytes   int64
-	HeaderBytes int
+	BodyBytes   int64 // maximum size of a body
+	HeaderBytes int   // maximum size of the headers
 	HeaderMs    int64 // timeout for reading the headers
 	IdleMs      int64 // timeout of idle connections
 }
--- a/internal/plat/worker/worker.go
+++ b/internal/plat/worker/worker.go
@@ -1,15 +1,15 @@
 // Package worker is the adapter to the platform's workers, the machines that
-// run tasks.
+// run tasks. An attempt is what package ports calls a run.
 //
 // A worker runs a task only while its lease is valid. It stores the highest
-// fencing token that it has received, which is an epoch and a sequence number,
-// and refuses requests with an older epoch. The guarantee that no task runs in
+// fencing token that it has received and refuses requests with a lower epoch. A
+// token has an epoch and a sequence number. The guarantee that no task runs in
 // two places depends on four properties of a worker:
 //
 //   - It refuses a start whose epoch is lower than the highest it has received,
 //     or whose sequence number is below that of the last renewal.
-//   - It starts no task without a lease, no task of a request for an earlier
-//     boot of the worker, and no attempt that it still reports as running or
+//   - It starts no task if it has no lease, if the request has another boot
+//     number than its own, or if it still reports the attempt as running or
 //     finished.
 //   - It stops every task when its lease expires, by its own clock.
 //   - It reports every running task, and every finished one until the owner
@@ -48,11 +48,11 @@
 // MiB; both are hard limits in the worker's resource accounting.
 type StartRequest struct {
 	Token      Token   `json:"token"`
-	Boot       int64   `json:"boot"` // boot number of the intended worker
+	Boot       int64   `json:"boot"` // boot number of the intended incarnation of the worker
 	Attempt    Attempt `json:"attempt"`
-	Home       string  `json:"home"` // group that owns the job
-	Family     string  `json:"family"`
-	Class      string  `json:"class"`
+	Home       string  `json:"home"`   // group that owns the job
+	Family     string  `json:"family"` // name of the job
+	Class      string  `json:"class"`  // kind of the job
 	CPU        int64   `json:"cpu"`
 	Mem        int64   `json:"mem"`
 	Accel      int64   `json:"accel"`
@@ -63,10 +63,10 @@
 
 // RenewRequest renews the lease of a worker's tasks and asks for its inventory.
 type RenewRequest struct {
-	Token  Token     `json:"token"` // the worker refuses later starts with a lower Seq
-	TTLMs  int64     `json:"ttlMs"` // lease duration from now, in milliseconds; 0 does not renew
-	Since  uint64    `json:"since"` // version of the last answer; the worker waits for a newer one; 0 asks for the full inventory
-	WaitMs int64     `json:"waitMs"`
+	Token  Token     `json:"token"`            // the worker refuses later starts with a lower Seq
+	TTLMs  int64     `json:"ttlMs"`            // lease duration from now, in milliseconds; 0 does not renew
+	Since  uint64    `json:"since"`            // version of the last answer; the worker waits for a newer one; 0 asks for the full inventory
+	WaitMs int64     `json:"waitMs"`           // maximum wait for a version newer than Since, in milliseconds
 	Forget []Attempt `json:"forget,omitempty"` // finished attempts whose result is recorded; the worker drops them
 }
 
@@ -107,7 +107,7 @@
 // Inventory is the complete state of a worker's tasks. If nothing has changed
 // since RenewRequest.Since, the worker may set Same and omit the lists.
 type Inventory struct {
-	Same     bool       `json:"same,omitempty"` // unchanged since RenewRequest.Since, except for RenewRequest.Forget
+	Same     bool       `json:"same,omitempty"` // nothing has changed since RenewRequest.Since, apart from the attempts dropped by this request
 	Boot     int64      `json:"boot"`           // changes whenever the worker loses its state
 	Version  uint64     `json:"version"`
 	Running  []Running  `json:"running,omitempty"`
@@ -128,8 +128,9 @@
 	CPU     int64   `json:"cpu"` // millicores
 }
 
-// Worker is one worker of the platform. Errors are *fault.Error: NotRun when
-// the worker refused, Unknown when it did not answer.
+// Worker is one worker of the platform. Errors are *fault.Error: NotRun if the
+// worker refused the request or no connection was made, Unknown if the request
+// may have reached it.
 type Worker interface {
 	Start(ctx context.Context, req StartRequest) error
 	Renew(ctx context.Context, req RenewRequest) (Inventory, error)
@@ -144,7 +145,7 @@
 // ClientConfig is the configuration of a Client.
 type ClientConfig struct {
 	URL     string        // base URL of the worker
-	Timeout time.Duration // of one request, excluding its wait time; 0 means 1 s
+	Timeout time.Duration // timeout of one request, in addition to its wait time; 0 means 1 s
 }
 
 const defaultTimeout = time.Second
