--- a/internal/plat/ports/ports.go
+++ b/internal/plat/ports/ports.go
@@ -35,7 +35,7 @@
 type AppendRequest struct {
 	Topic   string
 	Writer  string // producer id for fencing; empty for an unfenced append
-	Epoch   int64  // epoch of the writer; the store refuses an epoch below the highest it has seen
+	Epoch   int64  // epoch of the writer; the store refuses an epoch below the highest that it has received
 	Seq     int64  // sequence number of the append within the epoch; increases by 1 with each append
 	Records []Record
 }
