--- a/internal/base/fault/fault.go
+++ b/internal/base/fault/fault.go
@@ -3,8 +3,9 @@
 //
 // Each error reports whether the request took effect. NotRun guarantees that the
 // request had no effect and never will. Done means that it took effect. Unknown
-// covers every other case and is never changed to NotRun later. A sender must
-// report Unknown unless no byte of its request can have been sent.
+// covers every other case and is never changed to NotRun later. A client reports
+// NotRun only if the server cannot have received a complete request. A server
+// reports NotRun only if it refused the request without any effect.
 //
 // # Usage
 //
@@ -25,7 +26,7 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// Outcome reports whether a request took effect.
+// Outcome reports whether a request took effect, which is also called "ran".
 type Outcome string
 
 // Outcomes of a request. RanOf reports an empty outcome as Unknown.
@@ -42,7 +43,7 @@
 const (
 	BadInput    Code = "badInput"    // 400
 	NoKey       Code = "noKey"       // 401
-	Denied      Code = "denied"      // 403
+	Denied      Code = "denied"      // 403, the caller lacks the permission
 	NotFound    Code = "notFound"    // 404
 	Conflict    Code = "conflict"    // 409
 	TooLarge    Code = "tooLarge"    // 413
@@ -51,7 +52,7 @@
 	Internal    Code = "internal"    // 500
 	BadAnswer   Code = "badAnswer"   // 502
 	Unavailable Code = "unavailable" // 503
-	NotOwner    Code = "notOwner"    // 503, between entry hosts only
+	NotOwner    Code = "notOwner"    // 503, only between entry hosts
 	Timeout     Code = "timeout"     // 504
 )
 
@@ -106,7 +107,7 @@
 	return &Error{Code: code, Ran: outcome, Detail: fmt.Sprintf(format, args...)}
 }
 
-// Field returns a BadInput error for one field of a request, with the outcome
+// Field returns a BadInput error for one field of the input, with the outcome
 // NotRun.
 func Field(field string, value any, format string, args ...any) *Error {
 	return &Error{
