--- a/internal/base/frame/client.go
+++ b/internal/base/frame/client.go
@@ -91,7 +91,7 @@
 	addr     string
 	dialOnce sync.Once
 	w        connWriter
-	err      error
+	err      error // error of the dial, set before dialOnce is done
 
 	mu      sync.Mutex
 	nextID  uint64
@@ -148,6 +148,7 @@
 		if !ok {
 			return nil, fault.New(fault.Unavailable, fault.Unknown, "connection to %s closed before the response arrived", addr)
 		}
+		// In leaves out the envelope of the response.
 		p.traffic.add(method, Bytes{In: int64(len(resp.Body) + lengthPrefixBytes)})
 		if resp.Err != nil {
 			return nil, resp.Err
@@ -168,7 +169,7 @@
 	return max(time.Until(d).Milliseconds(), 1)
 }
 
-// conn returns the open connection to addr, dialing it if there is none.
+// conn returns the connection to addr and dials it if there is none.
 // Concurrent callers wait for the same dial.
 func (p *Pool) conn(addr string) (*clientConn, error) {
 	p.mu.Lock()
@@ -236,7 +237,8 @@
 	}
 }
 
-// deliver reports whether a call was waiting for resp.
+// deliver passes resp to the call that waits for it. It returns false if no call
+// waits.
 func (cc *clientConn) deliver(resp response) bool {
 	cc.mu.Lock()
 	ch, ok := cc.pending[resp.ID]
--- a/internal/base/frame/server.go
+++ b/internal/base/frame/server.go
@@ -16,7 +16,7 @@
 // ServerConfig configures a Server.
 type ServerConfig struct {
 	Addr        string // IP:port; port 0 selects a free port
-	MaxInFlight int    // maximum concurrent requests per connection; 0 means 4096
+	MaxInFlight int    // maximum concurrent requests per connection, at which reading pauses; 0 means 4096
 }
 
 const defaultMaxInFlight = 4096
@@ -80,8 +80,8 @@
 // Traffic returns the server's byte counters.
 func (s *Server) Traffic() *Traffic { return &s.traffic }
 
-// Close closes the listener and every connection. Requests in flight get an
-// Unknown outcome at the client.
+// Close closes the listener and every connection. The clients report requests in
+// flight as Unknown. Handlers may still be running when Close returns.
 func (s *Server) Close() {
 	s.mu.Lock()
 	s.closed = true
@@ -174,7 +174,8 @@
 	return response{ID: req.ID, Body: msgpack.RawMessage(body)}
 }
 
-// connWriter serializes the frames of many goroutines onto one connection.
+// connWriter writes the frames of several goroutines to one connection, one frame
+// at a time.
 type connWriter struct {
 	mu sync.Mutex
 	c  net.Conn
