--- a/internal/base/conf/conf.go
+++ b/internal/base/conf/conf.go
@@ -1,8 +1,9 @@
 // Package conf reads settings from INI files into structs and checks them.
 //
 // A settings struct has one field for each section, and each section is a
-// struct with one field for each key. The field tags give the name, default,
-// valid values and description of a key:
+// struct with one field for each key. The field tag ini gives the name of a key,
+// def its default, min, max and oneof its valid values, and doc its description;
+// required:"true" makes the key mandatory:
 //
 //	type Settings struct {
 //		Log struct {
@@ -13,7 +14,8 @@
 // Every error names the section, key and value, and describes the valid values.
 // Unknown sections, unknown keys and keys that are set twice are errors, so a
 // misspelt key is never silently ignored. A slice of structs holds a section
-// that may occur several times, as "[name ID]".
+// that may occur several times, as "[name ID]". The field with the tag ini:"#id"
+// receives the ID.
 //
 // # Usage
 //
@@ -48,10 +50,10 @@
 	Section string
 	Key     string
 	Value   string
-	Want    string // the constraint that the value violates
+	Want    string // what is wrong, such as "must be a number" or "is not a known section"
 }
 
-// Error returns the setting, its value and the violated constraint.
+// Error returns the setting, its value and what is wrong with it.
 func (e *Error) Error() string {
 	return fmt.Sprintf("section [%s], key %q, value %q: %s", e.Section, e.Key, e.Value, e.Want)
 }
@@ -71,6 +73,7 @@
 
 // Parse reads settings from the content of a file.
 func Parse[T any](data []byte) (s T, err error) {
+	// AllowShadows keeps all values of a duplicate key, so that parseKey can report it.
 	file, err := ini.LoadSources(ini.LoadOptions{
 		AllowShadows: true, AllowDuplicateShadowValues: true, IgnoreInlineComment: false,
 		KeyValueDelimiters: "=", SpaceBeforeInlineComment: true,
@@ -180,6 +183,7 @@
 		if f.Tag.Get("required") == "true" {
 			p.addError(&Error{Section: sec.Name(), Key: name, Want: "must be set: " + f.Tag.Get("doc")})
 		}
+		// An explicit empty value of another type is an empty list or an error.
 		if !set || f.Type.Kind() == reflect.String {
 			return
 		}
@@ -254,6 +258,7 @@
 	return fmt.Errorf("must be one of %s", options)
 }
 
+// checkRange checks n against the tags min and max, which are set together.
 func checkRange[N int64 | float64 | time.Duration](tag reflect.StructTag, n N, parse func(string) (N, error)) error {
 	low, lowErr := parse(tag.Get("min"))
 	high, highErr := parse(tag.Get("max"))
