--- a/internal/base/clock/clock.go
+++ b/internal/base/clock/clock.go
@@ -30,7 +30,7 @@
 // Now returns the current time.
 func (System) Now() time.Time { return time.Now() }
 
-// Sleep waits for d or until ctx is done.
+// Sleep waits for d of real time, or until ctx is done.
 func Sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
