--- a/internal/base/httpd/json.go
+++ b/internal/base/httpd/json.go
@@ -18,7 +18,8 @@
 	"lagooncourse/internal/base/fault"
 )
 
-// MaxBodyBytes is the maximum size of a JSON body.
+// MaxBodyBytes is the maximum size of a JSON response, and a limit that callers
+// may pass to ReadJSON.
 const MaxBodyBytes = 8 << 20
 
 const maxIdleConnsPerHost = 64
@@ -58,8 +59,9 @@
 	_, _ = w.Write(data)
 }
 
-// ReadJSON decodes the body of r. Unknown fields, wrong types, trailing data and
-// bodies of more than limit bytes are errors that name the field.
+// ReadJSON decodes the body of r. Unknown fields, wrong types, bodies of more than
+// limit bytes and trailing data are errors, except trailing data that starts with
+// "}" or "]".
 func ReadJSON[T any](r *http.Request, limit int64) (v T, err error) {
 	data, err := ReadBody(r, limit)
 	if err != nil {
@@ -105,10 +107,11 @@
 
 var configureTransportOnce sync.Once
 
-// configureTransport raises the limit of idle connections per host of the
-// transport that httpc uses: with the default of 2, nearly every request would
-// open a new connection. It also disables proxies and go-zero's log, which has a
-// line for every request.
+// configureTransport configures http.DefaultTransport, which httpc uses. It raises
+// the limit of idle connections per host, because with the default of 2 nearly
+// every request would open a new connection. It removes the total limit and
+// disables proxies. It also disables go-zero's log, which has a line for every
+// request.
 func configureTransport() {
 	logx.Disable()
 	if t, ok := http.DefaultTransport.(*http.Transport); ok {
@@ -168,8 +171,8 @@
 	return resp, nil
 }
 
-// Traced returns a copy of r and a flag that is set when the request gets a
-// connection. Read the flag only after the request has ended.
+// Traced returns a copy of r and a pointer to a flag that becomes true when the
+// request gets a connection. Read the flag only after the request has ended.
 func Traced(r *http.Request) (*http.Request, *bool) {
 	connected := new(bool)
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { *connected = true }}
@@ -208,8 +211,8 @@
 	return resp, nil
 }
 
-// DecodeProblem returns the *fault.Error in a problem document. A response of
-// another form becomes an Internal error with the outcome Unknown.
+// DecodeProblem returns the error in a problem document, as a *fault.Error. A
+// response of another form becomes an Internal error with the outcome Unknown.
 func DecodeProblem(status int, data []byte) error {
 	var p problem
 	if err := json.Unmarshal(data, &p); err != nil || p.Ran == "" {
--- a/internal/base/httpd/server.go
+++ b/internal/base/httpd/server.go
@@ -45,13 +45,14 @@
 	http *http.Server
 }
 
+// Limits that protect the server against slow and oversized headers.
 const (
 	readHeaderTimeout = 5 * time.Second
 	maxHeaderBytes    = 64 << 10
 )
 
-// Listen opens the listener and builds the router. Requests are accepted once
-// Serve is called.
+// Listen opens the listener and, without cfg.Handler, builds the router of
+// cfg.Routes. Requests are accepted once Serve is called.
 func Listen(cfg Config) (s *Server, err error) {
 	defer fault.Note(&err, "listen on %q", cfg.Addr)
 	if cfg.Handler == nil {
