--- a/internal/base/logs/async.go
+++ b/internal/base/logs/async.go
@@ -19,7 +19,7 @@
 }
 
 // Async is a non-blocking writer with a bounded queue. When the queue is full, it
-// drops lines and counts them.
+// drops lines and later writes a JSON line with their number.
 type Async struct {
 	w       io.Writer
 	lines   chan []byte
@@ -64,7 +64,7 @@
 // asyncBatchBytes is the size from which no further lines are added to a batch.
 const asyncBatchBytes = 32 << 10
 
-// Write queues one line. It always succeeds, also if the line is dropped.
+// Write queues one line. It always succeeds, even if the line is dropped.
 func (a *Async) Write(line []byte) (int, error) {
 	a.mu.RLock()
 	defer a.mu.RUnlock()
@@ -79,7 +79,8 @@
 	return len(line), nil
 }
 
-// Close writes the queued lines. Lines written after Close are discarded.
+// Close waits until the queued lines are written. It does not close the underlying
+// writer. Lines written after Close are dropped.
 func (a *Async) Close() error {
 	a.mu.Lock()
 	if !a.closed {
--- a/internal/base/logs/logs.go
+++ b/internal/base/logs/logs.go
@@ -1,6 +1,6 @@
 // Package logs writes the structured log of a process.
 //
-// A line has a time, a level, the name of the component, a message and
+// New writes lines of text, NewJSON JSON objects. A line of text has a time, a level, the name of the component, a message and
 // key=value pairs:
 //
 //	12:03:07.114 INFO  owner: claimed group group=az1-0 epoch=4
@@ -50,7 +50,7 @@
 func Discard() logr.Logger { return logr.Discard() }
 
 // handler is a slog.Handler that writes one line of text per record. It formats
-// attributes set with WithAttrs only once. The attribute "logger" is the name of
+// the attributes of WithAttrs when they are set, not for each record. The attribute "logger" is the name of
 // the component.
 type handler struct {
 	w        io.Writer
@@ -105,7 +105,7 @@
 	return &c
 }
 
-// WithGroup ignores the group: keys are not qualified.
+// WithGroup ignores the group: the keys get no prefix.
 func (h *handler) WithGroup(string) slog.Handler { return h }
 
 func writeAttr(b *strings.Builder, a slog.Attr) {
