--- a/internal/base/seeds/seeds.go
+++ b/internal/base/seeds/seeds.go
@@ -12,7 +12,8 @@
 
 import "flag"
 
-// DefaultSeed is the rapid seed of a run without -rapid.seed.
+// DefaultSeed is the seed of package rapid (pgregory.net/rapid) if -rapid.seed is
+// not given. Its value is arbitrary.
 const DefaultSeed = "20261204"
 
 // Runner is implemented by *testing.M.
