--- a/internal/base/polls/polls.go
+++ b/internal/base/polls/polls.go
@@ -17,7 +17,7 @@
 const pollInterval = 5 * time.Millisecond
 
 // Until polls cond until it returns true, and fails the test after the timeout.
-// The failure message includes what.
+// The failure message includes the text what, which describes cond.
 func Until(t T, timeout time.Duration, what string, cond func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(timeout); !cond(); {
