--- a/internal/plat/fakes/doc.go
+++ b/internal/plat/fakes/doc.go
@@ -4,11 +4,11 @@
 // service, the workers and the executors, so that tests cover the adapters too.
 // Store and Farm are called directly, without HTTP.
 //
-// The fakes keep only the state that they need to answer correctly. They record
-// what was run, for the checks of tests and of package judge, and can inject
-// faults: an outage, a lost answer, a worker that fails all its tasks, or an
-// executor that sends the answer to another request. For the HTTP servers,
-// faults are set from Go with Set or over HTTP with POST /switch.
+// The fakes record what was run, for the checks of tests and of package judge, and
+// can inject faults: an outage, a lost answer, a worker that fails all its tasks, or an
+// executor that sends the answer to another request. Set, or POST
+// /switch, sets the faults of an HTTP server; SetFaults sets those of Store and
+// Farm.
 //
 // # Usage
 //
@@ -26,6 +26,8 @@
 	"lagooncourse/internal/base/httpd"
 )
 
+// maxSwitchBytes is the maximum body size of POST /switch and of stop and throttle
+// requests.
 const maxSwitchBytes = 64 << 10
 
 // dropConn closes the connection without an answer, as a crash of the process would.
@@ -50,7 +52,8 @@
 	return rest.Route{Method: http.MethodGet, Path: path, Handler: h}
 }
 
-// switchRoute returns the route POST /switch, which sets the faults T of a fake.
+// switchRoute returns the route POST /switch, which decodes faults of type T and
+// passes them to set.
 func switchRoute[T any](set func(T)) rest.Route {
 	return post("/switch", func(w http.ResponseWriter, r *http.Request) {
 		s, err := httpd.ReadJSON[T](r, maxSwitchBytes)
--- a/internal/plat/fakes/exec.go
+++ b/internal/plat/fakes/exec.go
@@ -20,7 +20,7 @@
 // ExecConfig is the configuration of Execs.
 type ExecConfig struct {
 	Addr    string         // address of the admin server: host list, executions and fault injection
-	Targets []hosts.Target // URL is the host:port to listen on; if empty, a free port is used
+	Targets []hosts.Target // the URL field holds the IP:port to listen on; if empty, a free port is used
 	WorkMs  int64          // duration of a call in milliseconds
 }
 
@@ -45,14 +45,14 @@
 	EndMs   int64  `json:"endMs"`
 }
 
-// Execs fakes the executors of a service. Each executor listens on its own
+// Execs fakes executors. Each executor listens on its own
 // address.
 type Execs struct {
 	admin *httpd.Server
 	execs []*fakeExec
 
 	mu     sync.Mutex
-	number int64 // last number sent in an answer; counts the calls of all executors
+	number int64 // calls of all executors so far; sent as "number" in each answer
 	done   []Execution
 }
 
@@ -150,14 +150,15 @@
 	return append([]Execution{}, e.done...)
 }
 
-// ExecPeaks holds the peak load of single executors.
+// ExecPeaks holds the highest load of any single executor and the number of
+// refused calls of all.
 type ExecPeaks struct {
 	Slots   int // maximum of concurrent calls of one executor
 	Conns   int // maximum of open connections of one executor
 	Refused int // calls of all executors refused because no slot was free
 }
 
-// Peaks returns the peak load over all executors.
+// Peaks returns the peak load since the start.
 func (e *Execs) Peaks() (p ExecPeaks) {
 	for _, x := range e.execs {
 		x.mu.Lock()
@@ -167,7 +168,8 @@
 	return p
 }
 
-// Set replaces the injected faults.
+// Set replaces the injected faults of the executor s.Target, or of all executors
+// if it is empty.
 func (e *Execs) Set(s ExecSwitch) {
 	for _, x := range e.execs {
 		if s.Target != "" && s.Target != x.host.ID {
--- a/internal/plat/fakes/farm.go
+++ b/internal/plat/fakes/farm.go
@@ -35,8 +35,8 @@
 
 // FarmFaults holds the injected faults, as probabilities between 0 and 1.
 type FarmFaults struct {
-	Lost float64 // an order is carried out but not answered
-	Late float64 // an order is not answered and carried out seconds later
+	Lost float64 // a start or stop is carried out but not answered
+	Late float64 // a start or stop is not answered and is carried out 2 to 12 s later
 	Fail float64 // a run fails
 }
 
@@ -60,7 +60,7 @@
 	ended       []sched.Finished    // unacknowledged finished runs
 	n           int64               // number of the last finished run
 	endedRun    map[string]int      // by task: highest run number that has ended or was stopped
-	lapsedN     int64               // n when the lease last expired; the scheduler may have rerun tasks that ended before
+	lapsedN     int64               // n when the lease last expired; the scheduler may rerun tasks whose runs have numbers up to it
 	unreachable bool                // calls to the worker fail
 	down        bool                // the worker is not running
 }
@@ -83,14 +83,14 @@
 	stop  *ports.StopOrder
 }
 
-// Delays and timeouts of the platform, as it specifies them.
+// Delays and timeouts that the platform specifies.
 const (
 	minLateMs     = 2_000  // minimum delay of a late order
 	maxLateMs     = 12_000 // maximum delay of a late order
 	gangTimeoutMs = 3_000  // time that a gang member waits for the other members
 )
 
-// NewFarm returns a farm of idle workers.
+// NewFarm returns simulated workers without runs.
 func NewFarm(cfg FarmConfig) *Farm {
 	f := &Farm{
 		rand: rand.New(rand.NewSource(cfg.Seed)), workers: map[string]*farmWorker{}, specs: map[string]sched.Spec{},
@@ -150,8 +150,8 @@
 	f.workers[id].unreachable = on
 }
 
-// Reboot restarts a worker: all its runs end, its state is lost, and a new
-// incarnation starts with the same ID.
+// Reboot restarts a worker with the same ID: its runs and state are lost, and its
+// incarnation number increases.
 func (f *Farm) Reboot(id string, nowMs int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -208,8 +208,9 @@
 // at 1000 at each boot.
 func (w *farmWorker) clock(nowMs int64) int64 { return (nowMs-w.bootMs)*98/100 + 1000 }
 
-// Advance carries out late orders that are due and ends the runs that have
-// completed or whose lease has expired.
+// Advance carries out late orders that are due. It ends the runs that have
+// completed, whose lease has expired, or whose gang is still incomplete after
+// gangTimeoutMs.
 func (f *Farm) Advance(nowMs int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -240,7 +241,7 @@
 			if r == nil {
 				continue // already ended with another member of its gang
 			}
-			from := r.startMs
+			from := r.startMs // start of the work; a gang works only while all members run
 			if r.gang != "" {
 				g := gangs[r.gang]
 				from = g.sinceMs
@@ -282,8 +283,8 @@
 	return all
 }
 
-// finishGang ends the remaining members of a gang after one has ended: as done if
-// that one was done, otherwise as broken.
+// finishGang ends the remaining members of a gang after one member has ended: as
+// done if that member ended so, otherwise as broken.
 func (f *Farm) finishGang(name string, how sched.How) {
 	if how != sched.EndDone {
 		how = sched.EndBroken
@@ -508,7 +509,8 @@
 	return h, nil
 }
 
-// forget drops the acknowledged finished runs, which have numbers up to seen.
+// forget drops the finished runs with numbers up to seen. It records their tasks
+// as acknowledged if they ended successfully after the last expiry of the lease.
 func (f *Farm) forget(w *farmWorker, seen int64) {
 	rest := w.ended[:0]
 	for _, e := range w.ended {
--- a/internal/plat/fakes/log.go
+++ b/internal/plat/fakes/log.go
@@ -29,7 +29,7 @@
 	SlowMs      int64 `json:"slowMs"`      // delay of every request in milliseconds
 	LoseAnswers int   `json:"loseAnswers"` // this many appends take effect but are not answered
 	DropAppends int   `json:"dropAppends"` // this many appends have no effect and are not answered
-	KeepLast    int   `json:"keepLast"`    // truncates every stream to this many records, once; 0 does nothing
+	KeepLast    int   `json:"keepLast"`    // when set, every stream is truncated to this many records; 0 means no truncation
 }
 
 // LogStats holds the counters of a Log.
@@ -55,7 +55,7 @@
 }
 
 type logStream struct {
-	first   int64
+	first   int64 // offset of records[0]
 	records []logRecord
 	changed chan struct{} // closed at the next append
 }
@@ -68,7 +68,7 @@
 const (
 	maxAppendBytes = 4 << 20
 	maxPageBytes   = 4 << 20
-	appendBurst    = 20
+	appendBurst    = 20 // appends accepted at once at the rate limit
 )
 
 // StartLog starts a log on cfg.Addr.
--- a/internal/plat/fakes/store.go
+++ b/internal/plat/fakes/store.go
@@ -26,19 +26,19 @@
 type StoreFaults struct {
 	Down   bool            // refuses every call
 	Away   map[string]bool // callers whose calls are refused
-	Lost   float64         // probability that an append takes effect but is not answered
+	Lost   float64         // probability, 0 to 1, that an append takes effect but is not answered
 	Delay  time.Duration   // delay of each call
-	Silent bool            // with Down or Away: calls get no answer instead of a refusal
+	Silent bool            // calls refused because of Down or Away get no answer instead; they have no effect
 }
 
 type topic struct {
-	records []ports.Record // from first on
+	records []ports.Record // the retained records; records[0] has the offset first
 	first   int64
 	newest  map[string]ports.Record
 	writers map[string]*writerState
 }
 
-// writerState is the state of one writer.
+// writerState is what the store checks the next append of a writer against.
 type writerState struct {
 	epoch  int64
 	next   int64           // expected sequence number
@@ -191,7 +191,7 @@
 	return offset, nil
 }
 
-// Read returns records; see ports.Store.
+// Read returns all records from r.From on. It ignores the size limit of r.
 func (c *storeClient) Read(ctx context.Context, r ports.ReadRequest) (ports.Page, error) {
 	if err := c.applyFaults(ctx); err != nil {
 		return ports.Page{}, err
@@ -226,7 +226,8 @@
 	}
 }
 
-// Newest returns the newest record of each key; see ports.Store.
+// Newest returns the newest record of every key in one page, in no particular
+// order. It ignores the argument after which a page starts.
 func (c *storeClient) Newest(ctx context.Context, name, _ string) (ports.Newest, error) {
 	if err := c.applyFaults(ctx); err != nil {
 		return ports.Newest{}, err
--- a/internal/plat/fakes/worker.go
+++ b/internal/plat/fakes/worker.go
@@ -33,7 +33,8 @@
 	State     hosts.State `json:"state"`     // state in the host list; empty does not change it
 }
 
-// Run records one attempt that a worker started.
+// Run records one attempt that a worker started. CPU is in millicores, Mem in MiB
+// and Accel in devices.
 type Run struct {
 	Worker  string     `json:"worker"`
 	Az      string     `json:"az"`
@@ -48,11 +49,11 @@
 	Accel   int64      `json:"accel"`
 }
 
-// Fleet fakes a number of workers that share one HTTP server.
+// Fleet fakes workers that share one HTTP server.
 type Fleet struct {
 	srv     *httpd.Server
 	workers map[string]*fakeWorker
-	order   []string
+	order   []string // worker IDs in the order of FleetConfig.Workers
 }
 
 // fakeWorker is one worker. mu guards all fields below it, and host.State.
@@ -172,6 +173,7 @@
 		w.host.State = s.State
 	}
 	if s.Dead {
+		// The runs end as if the lease had expired; the new incarnation does not report them.
 		for a := range w.running {
 			w.end(a, worker.EndLapsed)
 		}
@@ -362,6 +364,9 @@
 	w.finished[a] = fin
 }
 
+// renew extends the lease and returns the inventory once its version differs from
+// req.Since or req.WaitMs has passed. This also holds for Since 0 while the version
+// is 0.
 func (w *fakeWorker) renew(rw http.ResponseWriter, r *http.Request) {
 	req, err := httpd.ReadJSON[worker.RenewRequest](r, httpd.MaxBodyBytes)
 	if err != nil {
@@ -376,7 +381,7 @@
 	deadline := time.After(time.Duration(req.WaitMs) * time.Millisecond)
 	for {
 		inv, next := w.inventory()
-		if inv.Version != req.Since || changed == nil {
+		if inv.Version != req.Since || changed == nil { // changed is nil after the deadline
 			if req.Since > 0 && inv.Version == req.Since {
 				inv = worker.Inventory{Same: true, Boot: inv.Boot, Version: inv.Version}
 			}
@@ -394,8 +399,8 @@
 	}
 }
 
-// extend handles a renewal except for its answer. It returns a channel that is
-// closed at the next change.
+// extend checks the token, drops the forgotten attempts and extends the lease. It
+// returns a channel that is closed at the next change.
 func (w *fakeWorker) extend(req worker.RenewRequest) (<-chan struct{}, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -463,11 +468,13 @@
 	})
 }
 
+// throttle checks the token and has no other effect.
 func (w *fakeWorker) throttle(rw http.ResponseWriter, r *http.Request) {
 	handleFenced(w, rw, r, func(req worker.ThrottleRequest) worker.Token { return req.Token }, func(worker.ThrottleRequest) {})
 }
 
-// handleFenced handles a request: it checks its token and calls do with w.mu held.
+// handleFenced reads a request, checks its fencing token and calls do with w.mu
+// held.
 func handleFenced[Req any](
 	w *fakeWorker, rw http.ResponseWriter, r *http.Request, token func(Req) worker.Token, do func(Req),
 ) {
