--- a/internal/base/frame/client.go
+++ b/internal/base/frame/client.go
@@ -44,8 +44,8 @@
 // Traffic returns the pool's byte counters.
 func (p *Pool) Traffic() *Traffic { return &p.traffic }
 
-// LateResponses returns the number of responses that arrived after their call had
-// timed out or been cancelled.
+// LateResponses returns the number of responses without a pending call, for example
+// after a timeout.
 func (p *Pool) LateResponses() int64 { return p.lateResponses.Load() }
 
 // Cut closes the connection to addr and refuses to dial addr until
@@ -91,7 +91,7 @@
 	addr     string
 	dialOnce sync.Once
 	w        connWriter
-	err      error // error of the dial, set before dialOnce is done
+	dialErr  error // error of the dial, set before dialOnce is done
 
 	mu      sync.Mutex
 	nextID  uint64
@@ -184,9 +184,9 @@
 	}
 	p.mu.Unlock()
 	cc.dialOnce.Do(cc.connect)
-	if cc.err != nil {
+	if cc.dialErr != nil {
 		p.remove(cc)
-		return nil, fault.New(fault.Unavailable, fault.NotRun, "dial %s: %v", addr, cc.err)
+		return nil, fault.New(fault.Unavailable, fault.NotRun, "dial %s: %v", addr, cc.dialErr)
 	}
 	return cc, nil
 }
@@ -203,14 +203,14 @@
 func (cc *clientConn) connect() {
 	c, err := net.DialTimeout("tcp", cc.addr, cc.pool.cfg.DialTimeout)
 	if err != nil {
-		cc.err = err
+		cc.dialErr = err
 		return
 	}
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
 	if cc.closed {
 		c.Close()
-		cc.err = net.ErrClosed
+		cc.dialErr = net.ErrClosed
 		return
 	}
 	cc.w.c = c
--- a/internal/base/frame/frame.go
+++ b/internal/base/frame/frame.go
@@ -1,6 +1,6 @@
 // Package frame is the RPC protocol between entry hosts: msgpack messages in
-// length-prefixed frames over TCP. Each host opens one connection to each
-// peer that it calls.
+// length-prefixed frames over TCP. Each host opens one connection to each peer
+// that it calls.
 //
 // A frame is a 4-byte big-endian length followed by that many bytes of msgpack.
 // A request carries an ID and the remaining time until its caller's deadline;
--- a/internal/base/frame/server.go
+++ b/internal/base/frame/server.go
@@ -28,10 +28,10 @@
 	handlers map[uint16]handler
 	traffic  Traffic
 
-	mu     sync.Mutex
-	conns  map[net.Conn]struct{}
-	closed bool
-	active sync.WaitGroup
+	mu        sync.Mutex
+	conns     map[net.Conn]struct{}
+	closed    bool
+	openConns sync.WaitGroup
 }
 
 type handler func(ctx context.Context, body []byte) ([]byte, error)
@@ -92,7 +92,7 @@
 		c.Close()
 	}
 	s.mu.Unlock()
-	s.active.Wait()
+	s.openConns.Wait()
 }
 
 func (s *Server) acceptConns() {
@@ -117,22 +117,22 @@
 		return false
 	}
 	s.conns[c] = struct{}{}
-	s.active.Add(1)
+	s.openConns.Add(1)
 	return true
 }
 
-func (s *Server) untrack(c net.Conn) {
+func (s *Server) closeConn(c net.Conn) {
 	c.Close()
 	s.mu.Lock()
 	delete(s.conns, c)
 	s.mu.Unlock()
-	s.active.Done()
+	s.openConns.Done()
 }
 
 // serveConn reads requests from one connection and handles each in its own
 // goroutine, so that a slow request does not delay later ones.
 func (s *Server) serveConn(c net.Conn) {
-	defer s.untrack(c)
+	defer s.closeConn(c)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	r := bufio.NewReader(c)
