--- a/internal/base/logs/logs.go
+++ b/internal/base/logs/logs.go
@@ -1,7 +1,7 @@
 // Package logs writes the structured log of a process.
 //
-// New writes lines of text, NewJSON JSON objects. A line of text has a time, a level, the name of the component, a message and
-// key=value pairs:
+// New writes lines of text, NewJSON JSON objects. A line of text has a time, a
+// level, the name of the component, a message and key=value pairs:
 //
 //	12:03:07.114 INFO  owner: claimed group group=az1-0 epoch=4
 //
@@ -50,14 +50,14 @@
 func Discard() logr.Logger { return logr.Discard() }
 
 // handler is a slog.Handler that writes one line of text per record. It formats
-// the attributes of WithAttrs when they are set, not for each record. The attribute "logger" is the name of
-// the component.
+// the attributes of WithAttrs when they are set, not for each record. The
+// attribute "logger" is the name of the component.
 type handler struct {
-	w        io.Writer
-	mu       *sync.Mutex
-	minLevel slog.Level
-	attrs    string
-	name     string
+	w              io.Writer
+	mu             *sync.Mutex
+	minLevel       slog.Level
+	formattedAttrs string
+	name           string
 }
 
 var _ slog.Handler = (*handler)(nil)
@@ -82,7 +82,7 @@
 		b.WriteString(name + ": ")
 	}
 	b.WriteString(r.Message)
-	b.WriteString(h.attrs)
+	b.WriteString(h.formattedAttrs)
 	b.WriteString(rest.String())
 	b.WriteByte('\n')
 	h.mu.Lock()
@@ -101,7 +101,7 @@
 		}
 		writeAttr(&b, a)
 	}
-	c.attrs += b.String()
+	c.formattedAttrs += b.String()
 	return &c
 }
 
