--- a/internal/base/httpd/server.go
+++ b/internal/base/httpd/server.go
@@ -82,7 +82,7 @@
 		return nil, merry.Wrap(err)
 	}
 	rc.Name = cfg.Name
-	rc.Middlewares = rest.RestConf{}.Middlewares
+	rc.Middlewares = rest.RestConf{}.Middlewares // disables those that FillDefault enabled
 	rc.Middlewares.Recover = true
 	rc.Log.Mode = "console"
 	rc.Log.Level = "severe"
