--- a/internal/plat/fakes/doc.go
+++ b/internal/plat/fakes/doc.go
@@ -5,10 +5,9 @@
 // Store and Farm are called directly, without HTTP.
 //
 // The fakes record what was run, for the checks of tests and of package judge, and
-// can inject faults: an outage, a lost answer, a worker that fails all its tasks, or an
-// executor that sends the answer to another request. Set, or POST
-// /switch, sets the faults of an HTTP server; SetFaults sets those of Store and
-// Farm.
+// can inject faults: an outage, a lost answer, a worker that fails all its tasks,
+// or an executor that sends the answer to another request. Set, or POST /switch,
+// sets the faults of an HTTP server; SetFaults sets those of Store and Farm.
 //
 // # Usage
 //
--- a/internal/plat/fakes/exec.go
+++ b/internal/plat/fakes/exec.go
@@ -49,16 +49,16 @@
 // address.
 type Execs struct {
 	admin *httpd.Server
-	execs []*fakeExec
+	execs []*fakeExecutor
 
-	mu     sync.Mutex
-	number int64 // calls of all executors so far; sent as "number" in each answer
-	done   []Execution
+	mu         sync.Mutex
+	callCount  int64 // calls of all executors so far; sent as "number" in each answer
+	executions []Execution
 }
 
-type fakeExec struct {
-	group  *Execs
-	host   hosts.Target
+type fakeExecutor struct {
+	parent *Execs
+	info   hosts.Target
 	srv    *http.Server
 	workMs int64
 	slots  chan struct{}
@@ -110,7 +110,7 @@
 	if h.State == "" {
 		h.State = hosts.Live
 	}
-	x := &fakeExec{group: e, host: h, workMs: workMs, slots: make(chan struct{}, h.Slots)}
+	x := &fakeExecutor{parent: e, info: h, workMs: workMs, slots: make(chan struct{}, h.Slots)}
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /call/{service}", x.call)
 	x.srv = &http.Server{Handler: mux, ConnState: x.connState, ReadHeaderTimeout: time.Minute}
@@ -137,7 +137,7 @@
 	var l []hosts.Target
 	for _, x := range e.execs {
 		x.mu.Lock()
-		l = append(l, x.host)
+		l = append(l, x.info)
 		x.mu.Unlock()
 	}
 	return l
@@ -147,7 +147,7 @@
 func (e *Execs) Executions() []Execution {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return append([]Execution{}, e.done...)
+	return append([]Execution{}, e.executions...)
 }
 
 // ExecPeaks holds the highest load of any single executor and the number of
@@ -172,19 +172,19 @@
 // if it is empty.
 func (e *Execs) Set(s ExecSwitch) {
 	for _, x := range e.execs {
-		if s.Target != "" && s.Target != x.host.ID {
+		if s.Target != "" && s.Target != x.info.ID {
 			continue
 		}
 		x.mu.Lock()
 		x.sw = s
 		if s.State != "" {
-			x.host.State = s.State
+			x.info.State = s.State
 		}
 		x.mu.Unlock()
 	}
 }
 
-func (x *fakeExec) connState(_ net.Conn, s http.ConnState) {
+func (x *fakeExecutor) connState(_ net.Conn, s http.ConnState) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	switch s {
@@ -196,7 +196,7 @@
 	}
 }
 
-func (x *fakeExec) call(w http.ResponseWriter, r *http.Request) {
+func (x *fakeExecutor) call(w http.ResponseWriter, r *http.Request) {
 	body, err := httpd.ReadBody(r, target.MaxBodyBytes)
 	if err != nil || r.Header.Get(target.HeaderChecksum) != target.Checksum(body) {
 		x.refuse(w, r, "request body does not match its checksum")
@@ -219,7 +219,7 @@
 
 // begin records the request ID and returns the injected faults and the previous
 // request ID.
-func (x *fakeExec) begin(id string) (ExecSwitch, string) {
+func (x *fakeExecutor) begin(id string) (ExecSwitch, string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.maxCalls = max(x.maxCalls, len(x.slots))
@@ -230,20 +230,20 @@
 
 // work runs the call and records it, even if the caller disconnects, and returns
 // the answer.
-func (x *fakeExec) work(r *http.Request, body []byte) []byte {
+func (x *fakeExecutor) work(r *http.Request, body []byte) []byte {
 	start := nowMs()
 	time.Sleep(time.Duration(x.workMs) * time.Millisecond)
-	e := x.group
+	e := x.parent
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.number++
-	e.done = append(e.done, Execution{
-		Target: x.host.ID, ID: r.Header.Get(target.HeaderID), Service: r.PathValue("service"), StartMs: start, EndMs: nowMs(),
+	e.callCount++
+	e.executions = append(e.executions, Execution{
+		Target: x.info.ID, ID: r.Header.Get(target.HeaderID), Service: r.PathValue("service"), StartMs: start, EndMs: nowMs(),
 	})
-	return fmt.Appendf(nil, `{"number":%d,"echo":%s}`, e.number, strconv.Quote(string(body)))
+	return fmt.Appendf(nil, `{"number":%d,"echo":%s}`, e.callCount, strconv.Quote(string(body)))
 }
 
-func (x *fakeExec) reply(w http.ResponseWriter, r *http.Request, sw ExecSwitch, previous string, body []byte) {
+func (x *fakeExecutor) reply(w http.ResponseWriter, r *http.Request, sw ExecSwitch, previous string, body []byte) {
 	if sw.LateMs > 0 {
 		sleepCtx(r.Context(), time.Duration(sw.LateMs)*time.Millisecond)
 	}
@@ -270,7 +270,7 @@
 	_, _ = w.Write(body)
 }
 
-func (x *fakeExec) refuse(w http.ResponseWriter, r *http.Request, why string) {
+func (x *fakeExecutor) refuse(w http.ResponseWriter, r *http.Request, why string) {
 	body := fmt.Appendf(nil, `{"ran":"notRun","detail":%q}`, why)
 	w.Header().Set(target.HeaderID, r.Header.Get(target.HeaderID))
 	w.Header().Set(target.HeaderChecksum, target.Checksum(body))
--- a/internal/plat/fakes/farm.go
+++ b/internal/plat/fakes/farm.go
@@ -24,12 +24,12 @@
 	workers    map[string]*farmWorker
 	ids        []string // worker IDs in a fixed order
 	specs      map[string]sched.Spec
-	limits     map[string]jobs.Size
+	quotas     map[string]jobs.Size
 	faults     FarmFaults
 	late       []lateOrder
 	violations []string
-	acked      map[string]bool // tasks whose successful end the scheduler has acknowledged
-	done       map[string]bool // tasks that have ended successfully
+	ackedTasks map[string]bool // tasks whose successful end the scheduler has acknowledged
+	doneTasks  map[string]bool // tasks that have ended successfully
 	starts     int
 }
 
@@ -58,15 +58,15 @@
 	leaseEnd    int64               // end of the lease, on the worker's clock
 	runs        map[string]*farmRun // by task
 	ended       []sched.Finished    // unacknowledged finished runs
-	n           int64               // number of the last finished run
+	lastSeq     int64               // number of the last finished run
 	endedRun    map[string]int      // by task: highest run number that has ended or was stopped
-	lapsedN     int64               // n when the lease last expired; the scheduler may rerun tasks whose runs have numbers up to it
+	seqAtExpiry int64               // lastSeq when the lease last expired; tasks of runs up to it may be rerun
 	unreachable bool                // calls to the worker fail
 	down        bool                // the worker is not running
 }
 
 type farmRun struct {
-	run     int
+	number  int
 	size    jobs.Size
 	team    string
 	startMs int64
@@ -94,7 +94,7 @@
 func NewFarm(cfg FarmConfig) *Farm {
 	f := &Farm{
 		rand: rand.New(rand.NewSource(cfg.Seed)), workers: map[string]*farmWorker{}, specs: map[string]sched.Spec{},
-		limits: map[string]jobs.Size{}, acked: map[string]bool{}, done: map[string]bool{},
+		quotas: map[string]jobs.Size{}, ackedTasks: map[string]bool{}, doneTasks: map[string]bool{},
 	}
 	for i := range cfg.Workers {
 		rack := fmt.Sprintf("r%d", i/max(cfg.Rack, 1))
@@ -125,8 +125,9 @@
 	f.specs[spec.ID] = spec
 }
 
-// SetLimit sets the quota of a team, which the farm checks at each start.
-func (f *Farm) SetLimit(team string, limit jobs.Size) { f.limits[team] = limit }
+// SetLimit sets the quota of a team, which the farm checks at each start. It
+// takes no lock: call it before the first start.
+func (f *Farm) SetLimit(team string, limit jobs.Size) { f.quotas[team] = limit }
 
 // Entries returns the registry entries of the running workers.
 func (f *Farm) Entries() []sched.WorkerInfo {
@@ -157,11 +158,11 @@
 	defer f.mu.Unlock()
 	w := f.workers[id]
 	w.info.Born++
-	w.bootMs, w.maxToken, w.leaseEnd, w.n, w.lapsedN = nowMs, 0, 0, 0, 0
+	w.bootMs, w.maxToken, w.leaseEnd, w.lastSeq, w.seqAtExpiry = nowMs, 0, 0, 0, 0
 	for _, task := range slices.Sorted(maps.Keys(w.runs)) {
 		r := w.runs[task]
 		if r == nil {
-			continue
+			continue // already ended with another member of its gang
 		}
 		delete(w.runs, task)
 		if r.gang != "" {
@@ -234,19 +235,19 @@
 	for _, id := range f.ids {
 		w := f.workers[id]
 		if w.clock(nowMs) >= w.leaseEnd {
-			w.lapsedN = w.n
+			w.seqAtExpiry = w.lastSeq
 		}
 		for _, task := range slices.Sorted(maps.Keys(w.runs)) {
 			r := w.runs[task]
 			if r == nil {
 				continue // already ended with another member of its gang
 			}
-			from := r.startMs // start of the work; a gang works only while all members run
+			workStartMs := r.startMs // a gang works only while all its members run
 			if r.gang != "" {
 				g := gangs[r.gang]
-				from = g.sinceMs
+				workStartMs = g.sinceMs
 				if g.n < r.members {
-					from = nowMs
+					workStartMs = nowMs
 				}
 			}
 			switch {
@@ -254,9 +255,9 @@
 				f.finish(w, task, r, sched.EndLapsed)
 			case r.gang != "" && gangs[r.gang].n < r.members && nowMs-r.startMs > gangTimeoutMs:
 				f.finish(w, task, r, sched.EndAlone)
-			case nowMs >= from+r.runMs && r.fails:
+			case nowMs >= workStartMs+r.runMs && r.fails:
 				f.finish(w, task, r, sched.EndFailed)
-			case nowMs >= from+r.runMs:
+			case nowMs >= workStartMs+r.runMs:
 				f.finish(w, task, r, sched.EndDone)
 			}
 		}
@@ -285,32 +286,32 @@
 
 // finishGang ends the remaining members of a gang after one member has ended: as
 // done if that member ended so, otherwise as broken.
-func (f *Farm) finishGang(name string, how sched.How) {
-	if how != sched.EndDone {
-		how = sched.EndBroken
+func (f *Farm) finishGang(gangID string, reason sched.How) {
+	if reason != sched.EndDone {
+		reason = sched.EndBroken
 	}
 	for _, id := range f.ids {
 		w := f.workers[id]
 		for _, task := range slices.Sorted(maps.Keys(w.runs)) {
-			if r := w.runs[task]; r != nil && r.gang == name {
+			if r := w.runs[task]; r != nil && r.gang == gangID {
 				r.gang = ""
-				f.finish(w, task, r, how)
+				f.finish(w, task, r, reason)
 			}
 		}
 	}
 }
 
 // finish ends a run and the other members of its gang.
-func (f *Farm) finish(w *farmWorker, task string, r *farmRun, how sched.How) {
+func (f *Farm) finish(w *farmWorker, task string, r *farmRun, reason sched.How) {
 	delete(w.runs, task)
-	w.n++
-	w.ended = append(w.ended, sched.Finished{N: w.n, Task: task, Run: r.run, How: how})
-	w.endedRun[task] = max(w.endedRun[task], r.run)
-	if how == sched.EndDone {
-		f.done[task] = true
+	w.lastSeq++
+	w.ended = append(w.ended, sched.Finished{N: w.lastSeq, Task: task, Run: r.number, How: reason})
+	w.endedRun[task] = max(w.endedRun[task], r.number)
+	if reason == sched.EndDone {
+		f.doneTasks[task] = true
 	}
 	if r.gang != "" {
-		f.finishGang(r.gang, how)
+		f.finishGang(r.gang, reason)
 	}
 }
 
@@ -324,21 +325,21 @@
 	if !used.Fits(w.info.Capacity) {
 		f.addViolation("capacity: %s starts on %s, which would then use %s", o.Task, o.Peer.ID, used)
 	}
-	if f.acked[o.Task] {
+	if f.ackedTasks[o.Task] {
 		f.addViolation("duplicate: %s starts after its successful end was acknowledged", o.Task)
 	}
 	team := step.Size
 	for _, other := range f.workers {
 		for task, r := range other.runs {
 			if task == o.Task && !step.Copies {
-				f.addViolation("duplicate: %s run %d starts on %s while run %d is on %s", task, o.Run, o.Peer.ID, r.run, other.info.ID)
+				f.addViolation("duplicate: %s run %d starts on %s while run %d is on %s", task, o.Run, o.Peer.ID, r.number, other.info.ID)
 			}
 			if r.team == spec.Team {
 				team = team.Plus(r.size)
 			}
 		}
 	}
-	if limit, ok := f.limits[spec.Team]; ok && !team.Fits(limit) {
+	if limit, ok := f.quotas[spec.Team]; ok && !team.Fits(limit) {
 		f.addViolation("quota: team %s would use %s", spec.Team, team)
 	}
 	f.checkDependencies(o, spec, step)
@@ -350,7 +351,7 @@
 	ref, _ := sched.ParseRef(o.Task)
 	for _, d := range step.After {
 		for i := range spec.Steps[d].Count {
-			if before := (sched.Ref{Job: ref.Job, Occ: ref.Occ, Step: d, Index: i}).String(); !f.done[before] {
+			if before := (sched.Ref{Job: ref.Job, Occ: ref.Occ, Step: d, Index: i}).String(); !f.doneTasks[before] {
 				f.addViolation("dependency: %s starts before %s is done", o.Task, before)
 			}
 		}
@@ -383,7 +384,7 @@
 		return refused(ports.RefusedLate)
 	}
 	w.renew(o.LeaseEnd, nowMs)
-	if r := w.runs[o.Task]; r != nil && r.run == o.Run {
+	if r := w.runs[o.Task]; r != nil && r.number == o.Run {
 		return nil
 	}
 	if o.Run <= w.endedRun[o.Task] {
@@ -395,7 +396,7 @@
 	f.checkStart(w, o, spec, step)
 	f.starts++
 	r := &farmRun{
-		run: o.Run, size: step.Size, team: spec.Team, startMs: nowMs, runMs: step.EstimateMs, fails: f.rand.Float64() < f.faults.Fail,
+		number: o.Run, size: step.Size, team: spec.Team, startMs: nowMs, runMs: step.EstimateMs, fails: f.rand.Float64() < f.faults.Fail,
 	}
 	if step.Gang {
 		r.gang, r.members = fmt.Sprintf("%s/%d", ref.StepName(), o.Run), step.Count
@@ -410,7 +411,7 @@
 	if err := w.checkToken(o.Token); err != nil {
 		return err
 	}
-	if r := w.runs[o.Task]; r != nil && r.run <= o.Run {
+	if r := w.runs[o.Task]; r != nil && r.number <= o.Run {
 		f.finish(w, o.Task, r, sched.EndStopped)
 	}
 	w.endedRun[o.Task] = max(w.endedRun[o.Task], o.Run)
@@ -438,8 +439,8 @@
 	return 0
 }
 
-// reachable returns the worker, or errNoAnswer if it is unreachable.
-func (f *Farm) reachable(p ports.Peer) (*farmWorker, error) {
+// reachableWorker returns the worker, or errNoAnswer if it is unreachable.
+func (f *Farm) reachableWorker(p ports.Peer) (*farmWorker, error) {
 	w := f.workers[p.ID]
 	if w == nil || w.unreachable || w.down {
 		return nil, errNoAnswer
@@ -453,7 +454,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.advance(nowMs)
-	w, err := f.reachable(o.Peer)
+	w, err := f.reachableWorker(o.Peer)
 	if err != nil {
 		return 0, err
 	}
@@ -473,7 +474,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.advance(nowMs)
-	if _, err := f.reachable(o.Peer); err != nil {
+	if _, err := f.reachableWorker(o.Peer); err != nil {
 		return err
 	}
 	switch d := f.drawFault(); {
@@ -492,7 +493,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.advance(nowMs)
-	w, err := f.reachable(r.Peer)
+	w, err := f.reachableWorker(r.Peer)
 	if err != nil {
 		return ports.HoldAnswer{}, err
 	}
@@ -500,26 +501,27 @@
 		return ports.HoldAnswer{}, err
 	}
 	w.renew(r.LeaseEnd, nowMs)
-	f.forget(w, r.Seen)
+	f.acknowledge(w, r.Seen)
 	h := ports.HoldAnswer{Clock: w.clock(nowMs), Born: w.info.Born}
 	for task, run := range w.runs {
-		h.Running = append(h.Running, sched.Running{Task: task, Run: run.run, Percent: 100})
+		h.Running = append(h.Running, sched.Running{Task: task, Run: run.number, Percent: 100})
 	}
 	h.Finished = append(h.Finished, w.ended...)
 	return h, nil
 }
 
-// forget drops the finished runs with numbers up to seen. It records their tasks
-// as acknowledged if they ended successfully after the last expiry of the lease.
-func (f *Farm) forget(w *farmWorker, seen int64) {
+// acknowledge drops the finished runs with numbers up to seen. It records their
+// tasks as acknowledged if they ended successfully after the last expiry of the
+// lease.
+func (f *Farm) acknowledge(w *farmWorker, seen int64) {
 	rest := w.ended[:0]
 	for _, e := range w.ended {
 		if e.N > seen {
 			rest = append(rest, e)
 			continue
 		}
-		if e.How == sched.EndDone && e.N > w.lapsedN {
-			f.acked[e.Task] = true
+		if e.How == sched.EndDone && e.N > w.seqAtExpiry {
+			f.ackedTasks[e.Task] = true
 		}
 	}
 	w.ended = rest
--- a/internal/plat/fakes/log.go
+++ b/internal/plat/fakes/log.go
@@ -36,8 +36,8 @@
 type LogStats struct {
 	Appends int64 `json:"appends"`
 	Refused int64 `json:"refused"` // appends refused by the rate limit
-	Reads   int64 `json:"reads"`
-	Bytes   int64 `json:"bytes"` // bytes appended
+	Reads   int64 `json:"reads"`   // pages built; a long poll may build several
+	Bytes   int64 `json:"bytes"`   // bytes appended
 }
 
 // Log fakes the platform's log service.
@@ -67,8 +67,8 @@
 
 const (
 	maxAppendBytes = 4 << 20
-	maxPageBytes   = 4 << 20
-	appendBurst    = 20 // appends accepted at once at the rate limit
+	maxPageBytes   = 4 << 20 // a page gets no further record from this size on
+	appendBurst    = 20      // appends accepted at once at the rate limit
 )
 
 // StartLog starts a log on cfg.Addr.
--- a/internal/plat/fakes/worker.go
+++ b/internal/plat/fakes/worker.go
@@ -53,7 +53,7 @@
 type Fleet struct {
 	srv     *httpd.Server
 	workers map[string]*fakeWorker
-	order   []string // worker IDs in the order of FleetConfig.Workers
+	ids     []string // worker IDs in the order of FleetConfig.Workers
 }
 
 // fakeWorker is one worker. mu guards all fields below it, and host.State.
@@ -105,7 +105,7 @@
 		if h.State == "" {
 			h.State = hosts.Live
 		}
-		f.order = append(f.order, h.ID)
+		f.ids = append(f.ids, h.ID)
 		f.workers[h.ID] = &fakeWorker{
 			host: h, boot: nowMs(), changed: make(chan struct{}),
 			running:  map[worker.Attempt]*fakeTask{},
@@ -125,7 +125,7 @@
 // List returns the fleet's part of the host list.
 func (f *Fleet) List() []hosts.Worker {
 	var l []hosts.Worker
-	for _, id := range f.order {
+	for _, id := range f.ids {
 		w := f.workers[id]
 		w.mu.Lock()
 		h := w.host
@@ -138,7 +138,7 @@
 // Runs returns the recorded runs of all workers.
 func (f *Fleet) Runs() []Run {
 	runs := []Run{}
-	for _, id := range f.order {
+	for _, id := range f.ids {
 		w := f.workers[id]
 		w.mu.Lock()
 		for _, r := range w.runs {
@@ -175,7 +175,7 @@
 	if s.Dead {
 		// The runs end as if the lease had expired; the new incarnation does not report them.
 		for a := range w.running {
-			w.end(a, worker.EndLapsed)
+			w.finish(a, worker.EndLapsed)
 		}
 		clear(w.finished)
 		w.boot++
@@ -301,7 +301,7 @@
 	if cpu+req.CPU > w.host.CPU || mem+req.Mem > w.host.Mem || accel+req.Accel > w.host.Accel {
 		w.overcommits++
 	}
-	t := &fakeTask{req: req, start: time.Now(), runMs: remaining(req)}
+	t := &fakeTask{req: req, start: time.Now(), runMs: remainingMs(req)}
 	t.run = &Run{
 		Worker: w.host.ID, Az: w.host.Az, Task: req.Attempt.Task, Attempt: req.Attempt.Number, Class: req.Class,
 		StartMs: nowMs(), CPU: req.CPU, Mem: req.Mem, Accel: req.Accel,
@@ -317,7 +317,7 @@
 			w.mu.Lock()
 			defer w.mu.Unlock()
 			if w.running[req.Attempt] == t {
-				w.end(req.Attempt, end)
+				w.finish(req.Attempt, end)
 				w.markChanged()
 			}
 		})
@@ -328,9 +328,9 @@
 // checkpointPrefix precedes the remaining run time in a checkpoint.
 const checkpointPrefix = "remainingMs="
 
-// remaining returns the remaining run time of the task in milliseconds, from its
+// remainingMs returns the remaining run time of the task in milliseconds, from its
 // checkpoint if it has one.
-func remaining(req worker.StartRequest) int64 {
+func remainingMs(req worker.StartRequest) int64 {
 	if v, ok := strings.CutPrefix(req.Checkpoint, checkpointPrefix); ok {
 		if ms, err := strconv.ParseInt(v, 10, 64); err == nil {
 			return ms
@@ -339,8 +339,8 @@
 	return req.RunMs
 }
 
-// end moves an attempt from running to finished. The caller holds w.mu.
-func (w *fakeWorker) end(a worker.Attempt, end worker.End) {
+// finish moves an attempt from running to finished. The caller holds w.mu.
+func (w *fakeWorker) finish(a worker.Attempt, end worker.End) {
 	t := w.running[a]
 	if t == nil {
 		return
@@ -373,7 +373,7 @@
 		httpd.WriteError(rw, err)
 		return
 	}
-	changed, err := w.extend(req)
+	changed, err := w.applyRenewal(req)
 	if err != nil {
 		httpd.WriteError(rw, err)
 		return
@@ -399,9 +399,9 @@
 	}
 }
 
-// extend checks the token, drops the forgotten attempts and extends the lease. It
-// returns a channel that is closed at the next change.
-func (w *fakeWorker) extend(req worker.RenewRequest) (<-chan struct{}, error) {
+// applyRenewal checks the token, drops the attempts that req names as forgotten and
+// extends the lease. It returns a channel that is closed at the next change.
+func (w *fakeWorker) applyRenewal(req worker.RenewRequest) (<-chan struct{}, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if err := w.checkToken(req.Token); err != nil {
@@ -434,7 +434,7 @@
 		return
 	}
 	for a := range w.running {
-		w.end(a, worker.EndLapsed)
+		w.finish(a, worker.EndLapsed)
 	}
 	w.markChanged()
 }
@@ -463,7 +463,7 @@
 		if req.Checkpoint {
 			end = worker.EndCheckpointed
 		}
-		w.end(req.Attempt, end)
+		w.finish(req.Attempt, end)
 		w.markChanged()
 	})
 }
