--- a/internal/base/frame/client.go
+++ b/internal/base/frame/client.go
@@ -148,7 +148,7 @@
 		if !ok {
 			return nil, fault.New(fault.Unavailable, fault.Unknown, "connection to %s closed before the response arrived", addr)
 		}
-		// In leaves out the envelope of the response.
+		// Unlike the server, the client counts a response without its envelope.
 		p.traffic.add(method, Bytes{In: int64(len(resp.Body) + lengthPrefixBytes)})
 		if resp.Err != nil {
 			return nil, resp.Err
--- a/internal/plat/fakes/farm.go
+++ b/internal/plat/fakes/farm.go
@@ -66,12 +66,12 @@
 }
 
 type farmRun struct {
-	number  int
+	number  int // run number of the task
 	size    jobs.Size
 	team    string
 	startMs int64
-	runMs   int64
-	fails   bool
+	runMs   int64  // duration
+	fails   bool   // the run ends as failed
 	gang    string // gang ID: step and run number; empty if the task is in no gang
 	members int    // size of the gang
 }
--- a/internal/plat/fakes/store.go
+++ b/internal/plat/fakes/store.go
@@ -41,7 +41,7 @@
 // writerState is what the store checks the next append of a writer against.
 type writerState struct {
 	epoch  int64
-	next   int64           // expected sequence number
+	next   int64           // expected sequence number; an epoch may start with any
 	recent map[int64]int64 // sequence number -> offset of the last few appends
 }
 
