--- a/internal/base/frame/client.go
+++ b/internal/base/frame/client.go
@@ -44,8 +44,8 @@
 // Traffic returns the pool's byte counters.
 func (p *Pool) Traffic() *Traffic { return &p.traffic }
 
-// LateResponses returns the number of responses that arrived after their call had
-// timed out or been cancelled.
+// LateResponses returns the number of responses without a pending call, for example
+// after a timeout.
 func (p *Pool) LateResponses() int64 { return p.lateResponses.Load() }
 
 // Cut closes the connection to addr and refuses to dial addr until
@@ -91,7 +91,7 @@
 	addr     string
 	dialOnce sync.Once
 	w        connWriter
-	err      error
+	dialErr  error // error of the dial, set before dialOnce is done
 
 	mu      sync.Mutex
 	nextID  uint64
@@ -148,6 +148,7 @@
 		if !ok {
 			return nil, fault.New(fault.Unavailable, fault.Unknown, "connection to %s closed before the response arrived", addr)
 		}
+		// Unlike the server, the client counts a response without its envelope.
 		p.traffic.add(method, Bytes{In: int64(len(resp.Body) + lengthPrefixBytes)})
 		if resp.Err != nil {
 			return nil, resp.Err
@@ -168,7 +169,7 @@
 	return max(time.Until(d).Milliseconds(), 1)
 }
 
-// conn returns the open connection to addr, dialing it if there is none.
+// conn returns the connection to addr and dials it if there is none.
 // Concurrent callers wait for the same dial.
 func (p *Pool) conn(addr string) (*clientConn, error) {
 	p.mu.Lock()
@@ -183,9 +184,9 @@
 	}
 	p.mu.Unlock()
 	cc.dialOnce.Do(cc.connect)
-	if cc.err != nil {
+	if cc.dialErr != nil {
 		p.remove(cc)
-		return nil, fault.New(fault.Unavailable, fault.NotRun, "dial %s: %v", addr, cc.err)
+		return nil, fault.New(fault.Unavailable, fault.NotRun, "dial %s: %v", addr, cc.dialErr)
 	}
 	return cc, nil
 }
@@ -202,14 +203,14 @@
 func (cc *clientConn) connect() {
 	c, err := net.DialTimeout("tcp", cc.addr, cc.pool.cfg.DialTimeout)
 	if err != nil {
-		cc.err = err
+		cc.dialErr = err
 		return
 	}
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
 	if cc.closed {
 		c.Close()
-		cc.err = net.ErrClosed
+		cc.dialErr = net.ErrClosed
 		return
 	}
 	cc.w.c = c
@@ -236,7 +237,8 @@
 	}
 }
 
-// deliver reports whether a call was waiting for resp.
+// deliver passes resp to the call that waits for it. It returns false if no call
+// waits.
 func (cc *clientConn) deliver(resp response) bool {
 	cc.mu.Lock()
 	ch, ok := cc.pending[resp.ID]
--- a/internal/base/frame/server.go
+++ b/internal/base/frame/server.go
@@ -16,7 +16,7 @@
 // ServerConfig configures a Server.
 type ServerConfig struct {
 	Addr        string // IP:port; port 0 selects a free port
-	MaxInFlight int    // maximum concurrent requests per connection; 0 means 4096
+	MaxInFlight int    // maximum concurrent requests per connection, at which reading pauses; 0 means 4096
 }
 
 const defaultMaxInFlight = 4096
@@ -28,10 +28,10 @@
 	handlers map[uint16]handler
 	traffic  Traffic
 
-	mu     sync.Mutex
-	conns  map[net.Conn]struct{}
-	closed bool
-	active sync.WaitGroup
+	mu        sync.Mutex
+	conns     map[net.Conn]struct{}
+	closed    bool
+	openConns sync.WaitGroup
 }
 
 type handler func(ctx context.Context, body []byte) ([]byte, error)
@@ -80,8 +80,8 @@
 // Traffic returns the server's byte counters.
 func (s *Server) Traffic() *Traffic { return &s.traffic }
 
-// Close closes the listener and every connection. Requests in flight get an
-// Unknown outcome at the client.
+// Close closes the listener and every connection. The clients report requests in
+// flight as Unknown. Handlers may still be running when Close returns.
 func (s *Server) Close() {
 	s.mu.Lock()
 	s.closed = true
@@ -92,7 +92,7 @@
 		c.Close()
 	}
 	s.mu.Unlock()
-	s.active.Wait()
+	s.openConns.Wait()
 }
 
 func (s *Server) acceptConns() {
@@ -117,22 +117,22 @@
 		return false
 	}
 	s.conns[c] = struct{}{}
-	s.active.Add(1)
+	s.openConns.Add(1)
 	return true
 }
 
-func (s *Server) untrack(c net.Conn) {
+func (s *Server) closeConn(c net.Conn) {
 	c.Close()
 	s.mu.Lock()
 	delete(s.conns, c)
 	s.mu.Unlock()
-	s.active.Done()
+	s.openConns.Done()
 }
 
 // serveConn reads requests from one connection and handles each in its own
 // goroutine, so that a slow request does not delay later ones.
 func (s *Server) serveConn(c net.Conn) {
-	defer s.untrack(c)
+	defer s.closeConn(c)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	r := bufio.NewReader(c)
@@ -174,7 +174,8 @@
 	return response{ID: req.ID, Body: msgpack.RawMessage(body)}
 }
 
-// connWriter serializes the frames of many goroutines onto one connection.
+// connWriter writes the frames of several goroutines to one connection, one frame
+// at a time.
 type connWriter struct {
 	mu sync.Mutex
 	c  net.Conn
