--- a/cmd/lagooncourse/cluster_test.go
+++ b/cmd/lagooncourse/cluster_test.go
@@ -218,7 +218,7 @@
 func (h *hostProc) ready() bool {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	_, err := httpd.Exchange[struct{}](ctx, http.MethodGet, "http://"+h.api+"/readyz", nil)
+	_, err := httpd.Call[struct{}](ctx, http.MethodGet, "http://"+h.api+"/readyz", nil)
 	return err == nil
 }
 
@@ -237,9 +237,9 @@
 	ctx := context.Background()
 	op := c.client("")
 	for _, e := range []config.Edit{
-		{Kind: config.SetPlan, Name: name, Share: 1, Limit: limit},
-		{Kind: config.AddAllow, Name: name, Items: []string{"queue:*", "service:*", "az:*"}},
-		{Kind: config.GiveKey, Name: name + "-key", Team: name, Secret: config.HashSecret("secret")},
+		{Operation: config.SetPlan, Name: name, Share: 1, Limit: limit},
+		{Operation: config.AddAllow, Name: name, Items: []string{"queue:*", "service:*", "az:*"}},
+		{Operation: config.IssueKey, Name: name + "-key", Team: name, SecretHash: config.HashSecret("secret")},
 	} {
 		_, err := op.Edit(ctx, e)
 		assert.NilError(c.t, err)
@@ -260,7 +260,7 @@
 // setSwitch sets the fault injection switches of a stand-in.
 func (c *cluster) setSwitch(url string, sw any) {
 	c.t.Helper()
-	_, err := httpd.Exchange[json.RawMessage](context.Background(), http.MethodPost, url+"/switch", sw)
+	_, err := httpd.Call[json.RawMessage](context.Background(), http.MethodPost, url+"/switch", sw)
 	assert.NilError(c.t, err)
 }
 
@@ -286,14 +286,14 @@
 
 func (c *cluster) runs() []fakes.Run {
 	c.t.Helper()
-	runs, err := httpd.Exchange[[]fakes.Run](context.Background(), http.MethodGet, c.fleet+"/runs", nil)
+	runs, err := httpd.Call[[]fakes.Run](context.Background(), http.MethodGet, c.fleet+"/runs", nil)
 	assert.NilError(c.t, err)
 	return runs
 }
 
 func (c *cluster) executions() []fakes.Execution {
 	c.t.Helper()
-	list, err := httpd.Exchange[[]fakes.Execution](context.Background(), http.MethodGet, c.execs+"/executions", nil)
+	list, err := httpd.Call[[]fakes.Execution](context.Background(), http.MethodGet, c.execs+"/executions", nil)
 	assert.NilError(c.t, err)
 	return list
 }
--- a/cmd/lagooncourse/path_test.go
+++ b/cmd/lagooncourse/path_test.go
@@ -54,12 +54,12 @@
 	for _, tc := range []struct {
 		key  string
 		code fault.Code
-	}{{"", fault.NoKey}, {"lab-key.wrong", fault.NoKey}, {"nobody.secret", fault.NoKey}} {
+	}{{"", fault.Unauthenticated}, {"lab-key.wrong", fault.Unauthenticated}, {"nobody.secret", fault.Unauthenticated}} {
 		_, err := c.client(tc.key).Submit(context.Background(), smallJob("survey", 10))
-		assert.Assert(t, fault.Is(err, tc.code), "key %q: %v", tc.key, err)
-		assert.Equal(t, fault.RanOf(err), fault.NotRun)
+		assert.Assert(t, fault.HasCode(err, tc.code), "key %q: %v", tc.key, err)
+		assert.Equal(t, fault.OutcomeOf(err), fault.NotRun)
 		_, err = c.client(tc.key).Call(context.Background(), caller.Call{Service: "triage", ID: "x"})
-		assert.Assert(t, fault.Is(err, tc.code), "key %q: %v", tc.key, err)
+		assert.Assert(t, fault.HasCode(err, tc.code), "key %q: %v", tc.key, err)
 	}
 	assert.Equal(t, len(c.runs())+len(c.executions()), 0)
 }
@@ -222,7 +222,7 @@
 	}
 	outcomes := map[fault.Outcome]int{}
 	for id, err := range w.calls {
-		outcome := fault.RanOf(err)
+		outcome := fault.OutcomeOf(err)
 		outcomes[outcome]++
 		n := ran[id]
 		switch {
@@ -317,7 +317,7 @@
 	}
 	w.stopAndCheck(c)
 	for id, err := range w.calls {
-		if err != nil && fault.RanOf(err) == fault.Unknown {
+		if err != nil && fault.OutcomeOf(err) == fault.Unknown {
 			t.Errorf("call %s was cut off: %v", id, err)
 		}
 	}
--- a/internal/base/conf/conf.go
+++ b/internal/base/conf/conf.go
@@ -63,7 +63,7 @@
 // Load reads settings from the file at path. Its error joins all errors in the
 // file.
 func Load[T any](path string) (s T, err error) {
-	defer fault.Note(&err, "settings %q", path)
+	defer fault.Annotate(&err, "settings %q", path)
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return s, err
--- a/internal/base/fault/fault.go
+++ b/internal/base/fault/fault.go
@@ -10,7 +10,7 @@
 // # Usage
 //
 //	func (c *Client) Load(ctx context.Context) (err error) {
-//		defer fault.Note(&err, "load plan %q", c.team)
+//		defer fault.Annotate(&err, "load plan %q", c.team)
 //		...
 //		return fault.New(fault.Unavailable, fault.NotRun, "log does not respond")
 //	}
@@ -29,7 +29,7 @@
 // Outcome reports whether a request took effect, which is also called "ran".
 type Outcome string
 
-// Outcomes of a request. RanOf reports an empty outcome as Unknown.
+// Outcomes of a request. OutcomeOf reports an empty outcome as Unknown.
 const (
 	Done    Outcome = "done"
 	NotRun  Outcome = "notRun"
@@ -41,26 +41,26 @@
 
 // Error codes, in the order of their HTTP status.
 const (
-	BadInput    Code = "badInput"    // 400
-	NoKey       Code = "noKey"       // 401
-	Denied      Code = "denied"      // 403, the caller lacks the permission
-	NotFound    Code = "notFound"    // 404
-	Conflict    Code = "conflict"    // 409
-	TooLarge    Code = "tooLarge"    // 413
-	Infeasible  Code = "infeasible"  // 422
-	Overload    Code = "overload"    // 429
-	Internal    Code = "internal"    // 500
-	BadAnswer   Code = "badAnswer"   // 502
-	Unavailable Code = "unavailable" // 503
-	NotOwner    Code = "notOwner"    // 503, only between entry hosts
-	Timeout     Code = "timeout"     // 504
+	BadInput        Code = "badInput"    // 400
+	Unauthenticated Code = "noKey"       // 401
+	Denied          Code = "denied"      // 403, the caller lacks the permission
+	NotFound        Code = "notFound"    // 404
+	Conflict        Code = "conflict"    // 409
+	TooLarge        Code = "tooLarge"    // 413
+	Infeasible      Code = "infeasible"  // 422
+	Overload        Code = "overload"    // 429
+	Internal        Code = "internal"    // 500
+	BadResponse     Code = "badAnswer"   // 502
+	Unavailable     Code = "unavailable" // 503
+	NotOwner        Code = "notOwner"    // 503, only between entry hosts
+	Timeout         Code = "timeout"     // 504
 )
 
 var statusOf = map[Code]int{
-	BadInput: http.StatusBadRequest, NoKey: http.StatusUnauthorized, Denied: http.StatusForbidden,
+	BadInput: http.StatusBadRequest, Unauthenticated: http.StatusUnauthorized, Denied: http.StatusForbidden,
 	NotFound: http.StatusNotFound, Conflict: http.StatusConflict, TooLarge: http.StatusRequestEntityTooLarge,
 	Infeasible: http.StatusUnprocessableEntity, Overload: http.StatusTooManyRequests,
-	Internal: http.StatusInternalServerError, BadAnswer: http.StatusBadGateway,
+	Internal: http.StatusInternalServerError, BadResponse: http.StatusBadGateway,
 	Unavailable: http.StatusServiceUnavailable, NotOwner: http.StatusServiceUnavailable,
 	Timeout: http.StatusGatewayTimeout,
 }
@@ -69,7 +69,7 @@
 // RFC 9457 problem document, in HTTP responses.
 type Error struct {
 	Code       Code    `json:"code"`
-	Ran        Outcome `json:"ran"`
+	Outcome    Outcome `json:"ran"`
 	Detail     string  `json:"detail"`
 	Field      string  `json:"field,omitempty"`      // the rejected field of the input
 	Value      string  `json:"value,omitempty"`      // the rejected value
@@ -104,14 +104,14 @@
 
 // New returns an error with the given code, outcome and detail.
 func New(code Code, outcome Outcome, format string, args ...any) *Error {
-	return &Error{Code: code, Ran: outcome, Detail: fmt.Sprintf(format, args...)}
+	return &Error{Code: code, Outcome: outcome, Detail: fmt.Sprintf(format, args...)}
 }
 
-// Field returns a BadInput error for one field of the input, with the outcome
+// InvalidField returns a BadInput error for one field of the input, with the outcome
 // NotRun.
-func Field(field string, value any, format string, args ...any) *Error {
+func InvalidField(field string, value any, format string, args ...any) *Error {
 	return &Error{
-		Code: BadInput, Ran: NotRun, Field: field,
+		Code: BadInput, Outcome: NotRun, Field: field,
 		Value: fmt.Sprint(value), Detail: fmt.Sprintf(format, args...),
 	}
 }
@@ -127,29 +127,29 @@
 	if errors.As(err, &e) {
 		return e
 	}
-	return &Error{Code: Internal, Ran: Unknown, Detail: err.Error()}
+	return &Error{Code: Internal, Outcome: Unknown, Detail: err.Error()}
 }
 
-// RanOf returns the outcome that err reports, and Done for nil.
-func RanOf(err error) Outcome {
+// OutcomeOf returns the outcome that err reports, and Done for nil.
+func OutcomeOf(err error) Outcome {
 	if err == nil {
 		return Done
 	}
-	if e := From(err); e.Ran != "" {
-		return e.Ran
+	if e := From(err); e.Outcome != "" {
+		return e.Outcome
 	}
 	return Unknown
 }
 
-// Is reports whether err wraps an *Error with the given code.
-func Is(err error, code Code) bool {
+// HasCode reports whether err wraps an *Error with the given code.
+func HasCode(err error, code Code) bool {
 	var e *Error
 	return errors.As(err, &e) && e.Code == code
 }
 
-// Note prefixes a non-nil *err with a description of the failed operation. It is
+// Annotate prefixes a non-nil *err with a description of the failed operation. It is
 // meant to be deferred once per function.
-func Note(err *error, format string, args ...any) {
+func Annotate(err *error, format string, args ...any) {
 	if *err != nil {
 		*err = merry.Prependf(*err, format, args...)
 	}
--- a/internal/base/frame/client.go
+++ b/internal/base/frame/client.go
@@ -48,9 +48,10 @@
 // after a timeout.
 func (p *Pool) LateResponses() int64 { return p.lateResponses.Load() }
 
-// Cut closes the connection to addr and refuses to dial addr until
-// Cut(addr, false). Fault-injection tests use it to simulate a network partition.
-func (p *Pool) Cut(addr string, on bool) {
+// SetBlocked closes the connection to addr and refuses to dial addr until
+// SetBlocked(addr, false). Fault-injection tests use it to simulate a network
+// partition.
+func (p *Pool) SetBlocked(addr string, on bool) {
 	p.mu.Lock()
 	p.blocked[addr] = on
 	cc := p.conns[addr]
@@ -63,8 +64,8 @@
 	}
 }
 
-// Drop closes the connection to addr, if there is one. The next call redials.
-func (p *Pool) Drop(addr string) {
+// CloseConn closes the connection to addr, if there is one. The next call redials.
+func (p *Pool) CloseConn(addr string) {
 	p.mu.Lock()
 	cc := p.conns[addr]
 	p.mu.Unlock()
@@ -111,7 +112,7 @@
 	}
 	resp, err = Decode[Resp](data)
 	if err != nil {
-		return resp, fault.New(fault.BadAnswer, fault.Unknown, "method %q: %v", m.Name, err)
+		return resp, fault.New(fault.BadResponse, fault.Unknown, "method %q: %v", m.Name, err)
 	}
 	return resp, nil
 }
--- a/internal/base/frame/frame.go
+++ b/internal/base/frame/frame.go
@@ -64,7 +64,7 @@
 // Encode returns the msgpack encoding of v, with structs as arrays and numbers
 // in their shortest form. A struct field is therefore identified by its position.
 func Encode(v any) (data []byte, err error) {
-	defer fault.Note(&err, "encode %T", v)
+	defer fault.Annotate(&err, "encode %T", v)
 	var buf bytes.Buffer
 	enc := msgpack.NewEncoder(&buf)
 	enc.UseArrayEncodedStructs(true)
@@ -78,7 +78,7 @@
 
 // Decode parses a msgpack-encoded T and rejects trailing bytes.
 func Decode[T any](data []byte) (v T, err error) {
-	defer fault.Note(&err, "decode %T", v)
+	defer fault.Annotate(&err, "decode %T", v)
 	r := bytes.NewReader(data)
 	if err := msgpack.NewDecoder(r).Decode(&v); err != nil {
 		return v, merry.Wrap(err)
--- a/internal/base/frame/frame_test.go
+++ b/internal/base/frame/frame_test.go
@@ -33,7 +33,7 @@
 			<-blocked
 		}
 		if m.Text == "reject" {
-			return m, fault.Field("text", m.Text, "is rejected")
+			return m, fault.InvalidField("text", m.Text, "is rejected")
 		}
 		return m, nil
 	})
@@ -76,28 +76,28 @@
 	ctx := context.Background()
 	_, err := Call(ctx, p, s.Addr(), echo, echoMsg{Text: "reject"})
 	assert.Equal(t, fault.From(err).Field, "text")
-	assert.Equal(t, fault.RanOf(err), fault.NotRun)
+	assert.Equal(t, fault.OutcomeOf(err), fault.NotRun)
 
 	_, err = Call(ctx, p, s.Addr(), Method[echoMsg, echoMsg]{ID: 9}, echoMsg{})
-	assert.Equal(t, fault.RanOf(err), fault.NotRun)
+	assert.Equal(t, fault.OutcomeOf(err), fault.NotRun)
 
 	cancelled, cancel := context.WithCancel(ctx)
 	cancel()
 	_, err = Call(cancelled, p, s.Addr(), echo, echoMsg{})
-	assert.Equal(t, fault.RanOf(err), fault.NotRun, "nothing was sent")
+	assert.Equal(t, fault.OutcomeOf(err), fault.NotRun, "nothing was sent")
 
 	expiring, cancel := context.WithTimeout(ctx, 20*time.Millisecond)
 	defer cancel()
 	_, err = Call(expiring, p, s.Addr(), echo, echoMsg{Block: true})
-	assert.Equal(t, fault.RanOf(err), fault.Unknown)
+	assert.Equal(t, fault.OutcomeOf(err), fault.Unknown)
 	release()
 	_, err = Call(ctx, p, s.Addr(), echo, echoMsg{Text: "after"})
 	assert.NilError(t, err)
 
-	p.Cut(s.Addr(), true)
+	p.SetBlocked(s.Addr(), true)
 	_, err = Call(ctx, p, s.Addr(), echo, echoMsg{})
-	assert.Equal(t, fault.RanOf(err), fault.NotRun)
-	p.Cut(s.Addr(), false)
+	assert.Equal(t, fault.OutcomeOf(err), fault.NotRun)
+	p.SetBlocked(s.Addr(), false)
 	_, err = Call(ctx, p, s.Addr(), echo, echoMsg{Text: "reconnected"})
 	assert.NilError(t, err)
 }
@@ -122,11 +122,11 @@
 	defer p.Close()
 	for range 3 {
 		_, err = Call(context.Background(), p, ln.Addr().String(), echo, echoMsg{})
-		assert.Equal(t, fault.RanOf(err), fault.Unknown)
+		assert.Equal(t, fault.OutcomeOf(err), fault.Unknown)
 	}
 	ln.Close()
 	_, err = Call(context.Background(), p, ln.Addr().String(), echo, echoMsg{})
-	assert.Equal(t, fault.RanOf(err), fault.NotRun)
+	assert.Equal(t, fault.OutcomeOf(err), fault.NotRun)
 }
 
 // FuzzReadFrame checks that readFrame terminates on any input and never returns
--- a/internal/base/frame/server.go
+++ b/internal/base/frame/server.go
@@ -65,7 +65,7 @@
 
 // Listen opens the listener and serves in the background until Close.
 func (s *Server) Listen() (err error) {
-	defer fault.Note(&err, "listen on %q", s.cfg.Addr)
+	defer fault.Annotate(&err, "listen on %q", s.cfg.Addr)
 	s.ln, err = net.Listen("tcp", s.cfg.Addr)
 	if err != nil {
 		return merry.Wrap(err)
--- a/internal/base/httpd/json.go
+++ b/internal/base/httpd/json.go
@@ -73,7 +73,7 @@
 		return v, jsonError(err)
 	}
 	if dec.More() {
-		return v, fault.Field("body", "", "has data after the JSON value")
+		return v, fault.InvalidField("body", "", "has data after the JSON value")
 	}
 	return v, nil
 }
@@ -96,13 +96,13 @@
 func jsonError(err error) error {
 	var te *json.UnmarshalTypeError
 	if errors.As(err, &te) {
-		return fault.Field(te.Field, te.Value, "must be of type %s", te.Type)
+		return fault.InvalidField(te.Field, te.Value, "must be of type %s", te.Type)
 	}
 	const unknownFieldPrefix = "json: unknown field "
 	if name, ok := strings.CutPrefix(err.Error(), unknownFieldPrefix); ok {
-		return fault.Field(strings.Trim(name, `"`), "", "is not a known field")
+		return fault.InvalidField(strings.Trim(name, `"`), "", "is not a known field")
 	}
-	return fault.Field("body", "", "is not valid JSON: %v", err)
+	return fault.InvalidField("body", "", "is not valid JSON: %v", err)
 }
 
 var configureTransportOnce sync.Once
@@ -121,18 +121,18 @@
 	}
 }
 
-// Exchange sends req as a JSON body, or no body if req is nil, and decodes the
+// Call sends req as a JSON body, or no body if req is nil, and decodes the
 // JSON response.
 //
 // The error is a *fault.Error. Its outcome is NotRun if no connection was
 // established, the outcome in the problem document if the server returned one,
 // and Unknown otherwise.
-func Exchange[Resp any](ctx context.Context, method, url string, req any) (resp Resp, err error) {
-	return ExchangeHeader[Resp](ctx, method, url, nil, req)
+func Call[Resp any](ctx context.Context, method, url string, req any) (resp Resp, err error) {
+	return CallWithHeader[Resp](ctx, method, url, nil, req)
 }
 
-// ExchangeHeader is like Exchange and also sets request headers.
-func ExchangeHeader[Resp any](
+// CallWithHeader is like Call and also sets request headers.
+func CallWithHeader[Resp any](
 	ctx context.Context, method, url string, header http.Header, req any,
 ) (resp Resp, err error) {
 	var body io.Reader
@@ -163,7 +163,7 @@
 // no connection was established, and Unknown otherwise.
 func Send(r *http.Request) (*http.Response, error) {
 	configureTransportOnce.Do(configureTransport)
-	r, connected := Traced(r)
+	r, connected := TraceConn(r)
 	resp, err := httpc.DoRequest(r)
 	if err != nil {
 		return nil, TransportError(err, *connected)
@@ -171,9 +171,9 @@
 	return resp, nil
 }
 
-// Traced returns a copy of r and a pointer to a flag that becomes true when the
+// TraceConn returns a copy of r and a pointer to a flag that becomes true when the
 // request gets a connection. Read the flag only after the request has ended.
-func Traced(r *http.Request) (*http.Request, *bool) {
+func TraceConn(r *http.Request) (*http.Request, *bool) {
 	connected := new(bool)
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { *connected = true }}
 	return r.WithContext(httptrace.WithClientTrace(r.Context(), trace)), connected
@@ -197,7 +197,7 @@
 		return resp, fault.New(fault.Unavailable, fault.Unknown, "read response body: %v", err)
 	}
 	if len(data) > MaxBodyBytes {
-		return resp, fault.New(fault.BadAnswer, fault.Unknown, "response is longer than %d bytes", MaxBodyBytes)
+		return resp, fault.New(fault.BadResponse, fault.Unknown, "response is longer than %d bytes", MaxBodyBytes)
 	}
 	if httpResp.StatusCode >= http.StatusBadRequest {
 		return resp, DecodeProblem(httpResp.StatusCode, data)
@@ -206,7 +206,7 @@
 		return resp, nil
 	}
 	if err := json.Unmarshal(data, &resp); err != nil {
-		return resp, fault.New(fault.BadAnswer, fault.Unknown, "response is not valid JSON: %v", err)
+		return resp, fault.New(fault.BadResponse, fault.Unknown, "response is not valid JSON: %v", err)
 	}
 	return resp, nil
 }
@@ -215,7 +215,7 @@
 // response of another form becomes an Internal error with the outcome Unknown.
 func DecodeProblem(status int, data []byte) error {
 	var p problem
-	if err := json.Unmarshal(data, &p); err != nil || p.Ran == "" {
+	if err := json.Unmarshal(data, &p); err != nil || p.Outcome == "" {
 		return fault.New(fault.Internal, fault.Unknown, "response has status %d but no problem document", status)
 	}
 	e := p.Error
--- a/internal/base/httpd/server.go
+++ b/internal/base/httpd/server.go
@@ -12,7 +12,7 @@
 //	s, err := httpd.Listen(httpd.Config{Name: "entry", Addr: "127.0.0.1:0", Routes: routes})
 //	go s.Serve()
 //	defer s.Shutdown(ctx)
-//	page, err := httpd.Exchange[Page](ctx, "GET", s.URL()+"/streams/cell", nil)
+//	page, err := httpd.Call[Page](ctx, "GET", s.URL()+"/streams/cell", nil)
 package httpd
 
 import (
@@ -54,7 +54,7 @@
 // Listen opens the listener and, without cfg.Handler, builds the router of
 // cfg.Routes. Requests are accepted once Serve is called.
 func Listen(cfg Config) (s *Server, err error) {
-	defer fault.Note(&err, "listen on %q", cfg.Addr)
+	defer fault.Annotate(&err, "listen on %q", cfg.Addr)
 	if cfg.Handler == nil {
 		if cfg.Handler, err = router(cfg); err != nil {
 			return nil, err
--- a/internal/base/logs/async.go
+++ b/internal/base/logs/async.go
@@ -18,9 +18,9 @@
 	return logr.FromSlogHandler(slog.NewJSONHandler(w, &slog.HandlerOptions{Level: parseLevel(level)}))
 }
 
-// Async is a non-blocking writer with a bounded queue. When the queue is full, it
+// AsyncWriter is a non-blocking writer with a bounded queue. When the queue is full, it
 // drops lines and later writes a JSON line with their number.
-type Async struct {
+type AsyncWriter struct {
 	w       io.Writer
 	lines   chan []byte
 	dropped atomic.Int64
@@ -30,17 +30,17 @@
 	closed bool
 }
 
-var _ io.WriteCloser = (*Async)(nil)
+var _ io.WriteCloser = (*AsyncWriter)(nil)
 
-// NewAsync returns a writer that queues up to n lines for w.
-func NewAsync(w io.Writer, n int) *Async {
-	a := &Async{w: w, lines: make(chan []byte, n), done: make(chan struct{})}
+// NewAsyncWriter returns a writer that queues up to n lines for w.
+func NewAsyncWriter(w io.Writer, n int) *AsyncWriter {
+	a := &AsyncWriter{w: w, lines: make(chan []byte, n), done: make(chan struct{})}
 	go a.run()
 	return a
 }
 
 // run writes the queued lines in batches.
-func (a *Async) run() {
+func (a *AsyncWriter) run() {
 	defer close(a.done)
 	var buf []byte
 	for line := range a.lines {
@@ -65,7 +65,7 @@
 const asyncBatchBytes = 32 << 10
 
 // Write queues one line. It always succeeds, even if the line is dropped.
-func (a *Async) Write(line []byte) (int, error) {
+func (a *AsyncWriter) Write(line []byte) (int, error) {
 	a.mu.RLock()
 	defer a.mu.RUnlock()
 	if a.closed {
@@ -81,7 +81,7 @@
 
 // Close waits until the queued lines are written. It does not close the underlying
 // writer. Lines written after Close are dropped.
-func (a *Async) Close() error {
+func (a *AsyncWriter) Close() error {
 	a.mu.Lock()
 	if !a.closed {
 		a.closed = true
--- a/internal/base/seeds/seeds.go
+++ b/internal/base/seeds/seeds.go
@@ -7,7 +7,7 @@
 //
 // Command-line flags select another seed or more cases:
 //
-//	go test ./internal/cell/books -rapid.seed=7 -rapid.checks=100000
+//	go test ./internal/cell/alloc -rapid.seed=7 -rapid.checks=100000
 package seeds
 
 import "flag"
--- a/internal/cell/books/books.go
+++ b/internal/cell/alloc/alloc.go
@@ -1,4 +1,4 @@
-// Package books tracks the capacity of one group's workers and the task attempts
+// Package alloc tracks the capacity of one group's workers and the task attempts
 // to which it is allocated.
 //
 // Capacity is allocated to an attempt before its start request is sent. It stays
@@ -18,12 +18,12 @@
 //
 // # Usage
 //
-//	b := books.New()
+//	b := alloc.New()
 //	b.SetWorkers(list)
-//	slot, ok := b.Reserve(books.Ask{Attempt: a, Size: size, UntilMs: nowMs + 2000}, nowMs)
-//	order, ok := b.Begin(a)                   // before the start request is sent
-//	reports := b.Inventory(worker, inventory) // after each lease renewal
-package books
+//	slot, ok := b.Reserve(alloc.ReserveRequest{Attempt: a, Size: size, UntilMs: nowMs + 2000}, nowMs)
+//	order, ok := b.Begin(a)                        // before the start request is sent
+//	reports := b.ApplyInventory(worker, inventory) // after each lease renewal
+package alloc
 
 import (
 	"sort"
@@ -39,10 +39,10 @@
 
 // Worker describes a worker and its capacity.
 type Worker struct {
-	ID      string
-	Rack    string
-	Cap     jobs.Size // capacity
-	Leaving bool      // takes no new attempts
+	ID       string
+	Rack     string
+	Capacity jobs.Size
+	Draining bool // takes no new attempts
 }
 
 // phase is the progress of an allocation, from the reservation to the end of its
@@ -75,8 +75,8 @@
 type workerState struct {
 	Worker
 	used        jobs.Size
-	ready       bool    // set by an inventory, cleared by LoseWorker and Unready
-	lost        bool    // set by LoseWorker, cleared by an inventory
+	ready       bool    // set by an inventory, cleared by MarkWorkerLost and MarkNotReady
+	lost        bool    // set by MarkWorkerLost, cleared by an inventory
 	boot        int64   // boot id in the latest inventory
 	mode        Mode    // restriction by quarantine
 	heldFor     Attempt // attempt for which free capacity is held until heldUntilMs
@@ -84,9 +84,9 @@
 	allocations map[Attempt]*allocation
 }
 
-// Books holds the allocations of one group's workers. It is not safe for
+// Allocations holds the allocations of one group's workers. It is not safe for
 // concurrent use.
-type Books struct {
+type Allocations struct {
 	workers     map[string]*workerState
 	workerIDs   []string           // worker ids, sorted
 	workerOf    map[Attempt]string // worker id of each allocation
@@ -95,17 +95,17 @@
 	nextSeq     uint64             // sequence number of the next start request
 }
 
-// New returns Books without workers.
-func New() *Books {
-	return &Books{
+// New returns Allocations without workers.
+func New() *Allocations {
+	return &Allocations{
 		workers: map[string]*workerState{}, workerOf: map[Attempt]string{}, denied: map[Attempt]bool{}, nextSeq: 1,
 	}
 }
 
 // SetWorkers updates the workers from the host list. The list may be wrong, so a
-// worker that is no longer listed is marked as leaving and removed only when it
+// worker that is no longer listed is marked as draining and removed only when it
 // has no allocations.
-func (b *Books) SetWorkers(list []Worker) {
+func (b *Allocations) SetWorkers(list []Worker) {
 	listed := map[string]bool{}
 	for _, worker := range list {
 		listed[worker.ID] = true
@@ -120,7 +120,7 @@
 		if listed[id] {
 			continue
 		}
-		w.Leaving = true
+		w.Draining = true
 		if len(w.allocations) == 0 {
 			delete(b.workers, id)
 		}
@@ -134,32 +134,32 @@
 
 // Free returns the total free capacity of the schedulable workers and, for each
 // dimension, the largest free capacity of a single one.
-func (b *Books) Free() (sum, largest jobs.Size) {
+func (b *Allocations) Free() (sum, largest jobs.Size) {
 	for _, id := range b.workerIDs {
 		if w := b.workers[id]; w.schedulable() {
-			sum, largest = sum.Plus(w.free()), largest.Most(w.free())
+			sum, largest = sum.Plus(w.free()), largest.Max(w.free())
 		}
 	}
 	return sum, largest
 }
 
-// Capacity returns the total capacity of all workers that are not leaving.
-func (b *Books) Capacity() jobs.Size {
+// Capacity returns the total capacity of all workers that are not draining.
+func (b *Allocations) Capacity() jobs.Size {
 	var sum jobs.Size
 	for _, w := range b.workers {
-		if !w.Leaving {
-			sum = sum.Plus(w.Cap)
+		if !w.Draining {
+			sum = sum.Plus(w.Capacity)
 		}
 	}
 	return sum
 }
 
 // Workers returns the ids of all workers, sorted.
-func (b *Books) Workers() []string { return append([]string(nil), b.workerIDs...) }
+func (b *Allocations) Workers() []string { return append([]string(nil), b.workerIDs...) }
 
 // Ready reports whether the worker has reported an inventory and has not been
-// marked lost or unready since.
-func (b *Books) Ready(worker string) bool {
+// marked lost or not ready since.
+func (b *Allocations) Ready(worker string) bool {
 	w := b.workers[worker]
 	return w != nil && w.ready
 }
@@ -169,27 +169,27 @@
 
 // Values of Mode.
 const (
-	Open   Mode = iota // all attempts
-	Closed             // no attempts
-	Probe              // one attempt of an idempotent task at a time
+	ModeOpen   Mode = iota // all attempts
+	ModeClosed             // no attempts
+	ModeProbe              // one attempt of an idempotent task at a time
 )
 
 // SetMode sets the mode of the worker.
-func (b *Books) SetMode(worker string, m Mode) {
+func (b *Allocations) SetMode(worker string, m Mode) {
 	if w := b.workers[worker]; w != nil {
 		w.mode = m
 	}
 }
 
-// Ask is a request to reserve capacity for one attempt.
-type Ask struct {
-	Attempt Attempt
-	Home    string
-	Kind    jobs.Kind
-	Size    jobs.Size
-	UntilMs int64    // expiry of the reservation
-	Exclude []string // ids of workers that must not be chosen
-	Again   bool     // the task is idempotent, so the attempt can probe a quarantined worker
+// ReserveRequest is a request to reserve capacity for one attempt.
+type ReserveRequest struct {
+	Attempt    Attempt
+	Home       string
+	Kind       jobs.Kind
+	Size       jobs.Size
+	UntilMs    int64    // expiry of the reservation
+	Exclude    []string // ids of workers that must not be chosen
+	Idempotent bool     // the task is idempotent, so the attempt can probe a quarantined worker
 }
 
 // Slot identifies the worker on which capacity is reserved.
@@ -199,24 +199,24 @@
 }
 
 // Reserve reserves capacity for an attempt; see choose for the selection of the
-// worker. A repeated ask for a reserved attempt extends the reservation and
+// worker. A repeated request for a reserved attempt extends the reservation and
 // returns the same worker. The result ok is false if Begin was called for the
 // attempt, if the attempt is denied, or if no worker fits.
-func (b *Books) Reserve(ask Ask, nowMs int64) (slot Slot, ok bool) {
-	if w, a := b.find(ask.Attempt); a != nil {
-		a.untilMs = max(a.untilMs, ask.UntilMs)
+func (b *Allocations) Reserve(req ReserveRequest, nowMs int64) (slot Slot, ok bool) {
+	if w, a := b.find(req.Attempt); a != nil {
+		a.untilMs = max(a.untilMs, req.UntilMs)
 		return Slot{Worker: w.ID, Boot: w.boot}, a.phase == reserved
 	}
-	if b.denied[ask.Attempt] {
+	if b.denied[req.Attempt] {
 		return Slot{}, false
 	}
-	w := b.choose(ask, nowMs)
+	w := b.choose(req, nowMs)
 	if w == nil {
 		return Slot{}, false
 	}
 	b.allocate(w, &allocation{
-		attempt: ask.Attempt, home: ask.Home, size: ask.Size, kind: ask.Kind,
-		phase: reserved, untilMs: ask.UntilMs, boot: w.boot,
+		attempt: req.Attempt, home: req.Home, size: req.Size, kind: req.Kind,
+		phase: reserved, untilMs: req.UntilMs, boot: w.boot,
 	})
 	return Slot{Worker: w.ID, Boot: w.boot}, true
 }
@@ -225,21 +225,21 @@
 // It spreads services: they get the worker with the most capacity left. All
 // other kinds are packed onto the worker with the least capacity left, which
 // avoids fragmentation.
-func (b *Books) choose(ask Ask, nowMs int64) *workerState {
+func (b *Allocations) choose(req ReserveRequest, nowMs int64) *workerState {
 	var best *workerState
 	var bestScore float64
 	for _, id := range b.workerIDs {
 		w := b.workers[id]
-		if !w.schedulable() || !w.modeAllows(ask) || !ask.Size.Fits(w.free()) ||
-			contains(ask.Exclude, id) || w.heldForOther(ask.Attempt, nowMs) {
+		if !w.schedulable() || !w.modeAllows(req) || !req.Size.FitsIn(w.free()) ||
+			contains(req.Exclude, id) || w.heldForOther(req.Attempt, nowMs) {
 			continue
 		}
-		remaining := w.free().Minus(ask.Size)
-		score := remaining.Dominant(w.Cap)
-		if ask.Size.Accel == 0 && w.Cap.Accel > 0 {
+		remaining := w.free().Minus(req.Size)
+		score := remaining.DominantShare(w.Capacity)
+		if req.Size.Accel == 0 && w.Capacity.Accel > 0 {
 			score += acceleratorPenalty
 		}
-		if ask.Kind == jobs.Service {
+		if req.Kind == jobs.Service {
 			score = -score
 		}
 		if best == nil || score < bestScore {
@@ -250,18 +250,18 @@
 }
 
 // acceleratorPenalty is added to the score of a worker with accelerators if the
-// ask needs none. Scores without it lie between 0 and 1, so it outweighs any
+// request needs none. Scores without it lie between 0 and 1, so it outweighs any
 // difference in free capacity. The score of a service is negated afterwards, so
 // services prefer workers with accelerators.
 const acceleratorPenalty = 1.0
 
-// modeAllows reports whether the worker's mode, Open or Probe, permits the ask.
-// Closed is checked by schedulable.
-func (w *workerState) modeAllows(ask Ask) bool {
-	if w.mode != Probe {
+// modeAllows reports whether the worker's mode, ModeOpen or ModeProbe, permits the
+// request. ModeClosed is checked by schedulable.
+func (w *workerState) modeAllows(req ReserveRequest) bool {
+	if w.mode != ModeProbe {
 		return true
 	}
-	return ask.Again && w.used.IsZero()
+	return req.Idempotent && w.used.IsZero()
 }
 
 // heldForOther reports whether the worker's free capacity is held for another
@@ -270,8 +270,8 @@
 	return nowMs < w.heldUntilMs && w.heldFor != attempt
 }
 
-func (w *workerState) schedulable() bool { return w.ready && w.mode != Closed && !w.Leaving }
-func (w *workerState) free() jobs.Size   { return w.Cap.Minus(w.used) }
+func (w *workerState) schedulable() bool { return w.ready && w.mode != ModeClosed && !w.Draining }
+func (w *workerState) free() jobs.Size   { return w.Capacity.Minus(w.used) }
 
 func contains(list []string, s string) bool {
 	for _, v := range list {
@@ -283,14 +283,14 @@
 }
 
 // allocate adds a to the worker's allocations.
-func (b *Books) allocate(w *workerState, a *allocation) {
+func (b *Allocations) allocate(w *workerState, a *allocation) {
 	w.allocations[a.attempt] = a
 	w.used = w.used.Plus(a.size)
 	b.workerOf[a.attempt] = w.ID
 }
 
 // remove deletes the allocation and frees its capacity.
-func (b *Books) remove(w *workerState, a *allocation) {
+func (b *Allocations) remove(w *workerState, a *allocation) {
 	if a.phase != ended {
 		w.used = w.used.Minus(a.size)
 	}
@@ -299,9 +299,9 @@
 }
 
 // finish frees the capacity of an attempt that has ended. The allocation keeps
-// the end until the home group has recorded it (see Forget) and the worker has
+// the end until the home group has recorded it (see MarkEndRecorded) and the worker has
 // answered a renewal that lists the attempt.
-func (b *Books) finish(w *workerState, a *allocation, end Report) {
+func (b *Allocations) finish(w *workerState, a *allocation, end Report) {
 	if a.phase != ended {
 		w.used = w.used.Minus(a.size)
 	}
@@ -309,7 +309,7 @@
 }
 
 // find returns the worker and the allocation of an attempt, or nil, nil.
-func (b *Books) find(attempt Attempt) (*workerState, *allocation) {
+func (b *Allocations) find(attempt Attempt) (*workerState, *allocation) {
 	id, ok := b.workerOf[attempt]
 	if !ok {
 		return nil, nil
@@ -318,50 +318,50 @@
 	return w, w.allocations[attempt]
 }
 
-// Order holds the fields of a start request that the worker checks.
-type Order struct {
+// StartToken holds the fields of a start request that the worker checks.
+type StartToken struct {
 	Worker string
 	Seq    uint64 // sequence number within the epoch
 	Boot   int64  // expected boot id; the worker refuses the request if it has restarted
 }
 
 // Begin returns the fields of the start request of a reserved attempt. Call it
-// before the request is sent. It fails if the attempt has no reservation, for example because Lapse has
-// removed it. It also fails if the worker is no longer schedulable or has
-// restarted; the attempt is then denied.
-func (b *Books) Begin(attempt Attempt) (o Order, ok bool) {
+// before the request is sent. It fails if the attempt has no reservation, for
+// example because ExpireReservations has removed it. It also fails if the worker is
+// no longer schedulable or has restarted; the attempt is then denied.
+func (b *Allocations) Begin(attempt Attempt) (o StartToken, ok bool) {
 	w, a := b.find(attempt)
 	if a == nil || a.phase != reserved {
-		return Order{}, false
+		return StartToken{}, false
 	}
 	if !w.schedulable() || w.boot != a.boot {
 		b.remove(w, a)
 		b.deny(attempt)
-		return Order{}, false
+		return StartToken{}, false
 	}
 	a.phase, a.seq, a.inFlight = sending, b.nextSeq, true
 	b.nextSeq++
-	return Order{Worker: w.ID, Seq: a.seq, Boot: a.boot}, true
+	return StartToken{Worker: w.ID, Seq: a.seq, Boot: a.boot}, true
 }
 
-// Started records that the worker has confirmed the start.
-func (b *Books) Started(attempt Attempt) {
+// StartConfirmed records that the worker has confirmed the start.
+func (b *Allocations) StartConfirmed(attempt Attempt) {
 	if _, a := b.find(attempt); a != nil && a.phase == sending {
 		a.phase, a.inFlight = running, false
 	}
 }
 
-// Refused records that the worker has refused the start. The attempt is denied.
-func (b *Books) Refused(attempt Attempt) {
+// StartRefused records that the worker has refused the start. The attempt is denied.
+func (b *Allocations) StartRefused(attempt Attempt) {
 	if w, a := b.find(attempt); a != nil && a.phase == sending {
 		b.remove(w, a)
 		b.deny(attempt)
 	}
 }
 
-// Unsure records that the start request got no answer. Its capacity stays
-// allocated until an inventory with a higher floor shows whether it started.
-func (b *Books) Unsure(attempt Attempt) {
+// StartUnconfirmed records that the start request got no answer. Its capacity stays
+// allocated until an inventory with a higher MinSeq shows whether it started.
+func (b *Allocations) StartUnconfirmed(attempt Attempt) {
 	if _, a := b.find(attempt); a != nil && a.phase == sending {
 		a.inFlight = false
 	}
@@ -369,46 +369,46 @@
 
 // Renewal holds the fields of a lease renewal that is sent to a worker.
 type Renewal struct {
-	// Floor is the lowest sequence number that the worker still accepts. Start
+	// MinSeq is the lowest sequence number that the worker still accepts. Start
 	// requests with lower ones have been answered or given up. The worker refuses
 	// them from then on, so the inventory in its answer is final for them.
-	Floor uint64
-	// Forget lists ended attempts that the worker can stop reporting. Only
-	// attempts whose start request is below Floor are listed. A duplicate of that
+	MinSeq uint64
+	// Recorded lists ended attempts that the worker can stop reporting. Only
+	// attempts whose start request is below MinSeq are listed. A duplicate of that
 	// request has no effect: the worker ignores it while it reports the attempt,
 	// and refuses it afterwards.
-	Forget []Attempt
+	Recorded []Attempt
 }
 
 // Renewal returns the fields of the next lease renewal of the worker.
-func (b *Books) Renewal(worker string) Renewal {
-	r := Renewal{Floor: b.nextSeq}
+func (b *Allocations) Renewal(worker string) Renewal {
+	r := Renewal{MinSeq: b.nextSeq}
 	w := b.workers[worker]
 	if w == nil {
 		return r
 	}
 	for _, a := range w.allocations {
 		if a.inFlight {
-			r.Floor = min(r.Floor, a.seq)
+			r.MinSeq = min(r.MinSeq, a.seq)
 		}
 	}
 	for attempt, a := range w.allocations {
-		if a.recorded && a.seq < r.Floor {
-			r.Forget = append(r.Forget, attempt)
+		if a.recorded && a.seq < r.MinSeq {
+			r.Recorded = append(r.Recorded, attempt)
 		}
 	}
 	return r
 }
 
 // Cancel removes the reservation of an attempt that will not be started.
-func (b *Books) Cancel(attempt Attempt) {
+func (b *Allocations) Cancel(attempt Attempt) {
 	if w, a := b.find(attempt); a != nil && a.phase == reserved {
 		b.remove(w, a)
 	}
 }
 
-// Lapse removes the expired reservations and returns their number.
-func (b *Books) Lapse(nowMs int64) int {
+// ExpireReservations removes the expired reservations and returns their number.
+func (b *Allocations) ExpireReservations(nowMs int64) int {
 	n := 0
 	for attempt, id := range b.workerOf {
 		w := b.workers[id]
@@ -426,7 +426,7 @@
 const maxDenied = 65536
 
 // deny marks the attempt as one that must never start.
-func (b *Books) deny(attempt Attempt) {
+func (b *Allocations) deny(attempt Attempt) {
 	if b.denied[attempt] {
 		return
 	}
--- a/internal/cell/books/books_test.go
+++ b/internal/cell/alloc/alloc_test.go
@@ -1,4 +1,4 @@
-package books
+package alloc
 
 import (
 	"fmt"
@@ -24,11 +24,11 @@
 	id      string
 	cap     int64
 	boot    int64
-	epoch   uint64               // fencing token
-	floor   uint64               // lowest accepted sequence number
-	lease   bool                 // the lease is valid
-	running map[Attempt]int64    // attempt -> size
-	done    map[Attempt]jobs.How // ended attempts that are still reported
+	epoch   uint64                     // fencing token
+	minSeq  uint64                     // lowest accepted sequence number
+	lease   bool                       // the lease is valid
+	running map[Attempt]int64          // attempt -> size
+	done    map[Attempt]jobs.EndReason // ended attempts that are still reported
 }
 
 func (w *simWorker) used() int64 {
@@ -45,13 +45,13 @@
 		return false
 	}
 	if epoch > w.epoch {
-		w.epoch, w.floor = epoch, 0
+		w.epoch, w.minSeq = epoch, 0
 	}
 	return true
 }
 
 func (w *simWorker) start(m startRequest) bool {
-	if !w.acceptEpoch(m.epoch) || m.seq < w.floor || !w.lease || m.boot != w.boot {
+	if !w.acceptEpoch(m.epoch) || m.seq < w.minSeq || !w.lease || m.boot != w.boot {
 		return false
 	}
 	if _, ended := w.done[m.attempt]; ended {
@@ -65,24 +65,24 @@
 	if !w.acceptEpoch(epoch) {
 		return Inventory{}, false
 	}
-	w.floor, w.lease = max(w.floor, r.Floor), true
-	for _, attempt := range r.Forget {
+	w.minSeq, w.lease = max(w.minSeq, r.MinSeq), true
+	for _, attempt := range r.Recorded {
 		delete(w.done, attempt)
 	}
 	inv := Inventory{Renewal: r, Boot: w.boot}
 	for attempt, size := range w.running {
-		inv.Seen = append(inv.Seen, Seen{Attempt: attempt, Home: "h", Kind: jobs.Batch, Size: jobs.Size{CPU: size}})
+		inv.Attempts = append(inv.Attempts, ReportedAttempt{Attempt: attempt, Home: "h", Kind: jobs.Batch, Size: jobs.Size{CPU: size}})
 	}
-	for attempt, how := range w.done {
-		inv.Seen = append(inv.Seen, Seen{Attempt: attempt, Home: "h", How: how})
+	for attempt, reason := range w.done {
+		inv.Attempts = append(inv.Attempts, ReportedAttempt{Attempt: attempt, Home: "h", Reason: reason})
 	}
 	return inv, true
 }
 
 // simOwner is the owner of the group in one epoch.
 type simOwner struct {
-	epoch uint64
-	books *Books
+	epoch       uint64
+	allocations *Allocations
 }
 
 // simulation is the complete state of the test.
@@ -103,7 +103,7 @@
 func newSimulation(t *rapid.T) *simulation {
 	sim := &simulation{t: t, workers: map[string]*simWorker{}, finishedRuns: map[string]int{}}
 	for _, id := range []string{"w0", "w1"} {
-		sim.workers[id] = &simWorker{id: id, cap: 4, boot: 1, running: map[Attempt]int64{}, done: map[Attempt]jobs.How{}}
+		sim.workers[id] = &simWorker{id: id, cap: 4, boot: 1, running: map[Attempt]int64{}, done: map[Attempt]jobs.EndReason{}}
 	}
 	for range 4 {
 		sim.tasks = append(sim.tasks, jobs.Task{State: jobs.Waiting})
@@ -117,12 +117,12 @@
 
 // takeover adds an owner with the next epoch and without allocations.
 func (sim *simulation) takeover() {
-	owner := &simOwner{epoch: uint64(len(sim.owners) + 1), books: New()}
+	owner := &simOwner{epoch: uint64(len(sim.owners) + 1), allocations: New()}
 	var list []Worker
 	for id, w := range sim.workers {
-		list = append(list, Worker{ID: id, Cap: jobs.Size{CPU: w.cap}})
+		list = append(list, Worker{ID: id, Capacity: jobs.Size{CPU: w.cap}})
 	}
-	owner.books.SetWorkers(list)
+	owner.allocations.SetWorkers(list)
 	sim.owners = append(sim.owners, owner)
 }
 
@@ -138,11 +138,11 @@
 		return
 	}
 	attempt := sim.attemptOf(i, sim.tasks[i].Attempt+1)
-	slot, ok := owner.books.Reserve(Ask{Attempt: attempt, Home: "h", Kind: jobs.Batch, Size: jobs.Size{CPU: sim.sizes[i]}, UntilMs: sim.nowMs + 10}, sim.nowMs)
+	slot, ok := owner.allocations.Reserve(ReserveRequest{Attempt: attempt, Home: "h", Kind: jobs.Batch, Size: jobs.Size{CPU: sim.sizes[i]}, UntilMs: sim.nowMs + 10}, sim.nowMs)
 	if !ok {
 		return
 	}
-	sim.tasks[i] = sim.tasks[i].WithStart(jobs.Site{Group: "g", Worker: slot.Worker, Boot: slot.Boot}, sim.nowMs)
+	sim.tasks[i] = sim.tasks[i].WithStart(jobs.Placement{Group: "g", Worker: slot.Worker, Boot: slot.Boot}, sim.nowMs)
 }
 
 // send lets an owner send the start request of a recorded intent. The owner may
@@ -152,7 +152,7 @@
 		return
 	}
 	attempt := sim.attemptOf(i, sim.tasks[i].Attempt)
-	o, ok := owner.books.Begin(attempt)
+	o, ok := owner.allocations.Begin(attempt)
 	if !ok {
 		return
 	}
@@ -173,18 +173,18 @@
 	owner := sim.owners[m.epoch-1]
 	switch {
 	case !answered:
-		owner.books.Unsure(m.attempt)
+		owner.allocations.StartUnconfirmed(m.attempt)
 	case ok:
-		owner.books.Started(m.attempt)
+		owner.allocations.StartConfirmed(m.attempt)
 	default:
-		owner.books.Refused(m.attempt)
+		owner.allocations.StartRefused(m.attempt)
 	}
 }
 
 // renew lets an owner renew the lease of a worker and apply its inventory.
 func (sim *simulation) renew(owner *simOwner, w *simWorker) {
-	if inv, ok := w.renew(owner.epoch, owner.books.Renewal(w.id)); ok {
-		for _, r := range owner.books.Inventory(w.id, inv) {
+	if inv, ok := w.renew(owner.epoch, owner.allocations.Renewal(w.id)); ok {
+		for _, r := range owner.allocations.ApplyInventory(w.id, inv) {
 			sim.end(r)
 		}
 	}
@@ -197,9 +197,9 @@
 		if r.Attempt.Task != sim.attemptOf(i, 0).Task {
 			continue
 		}
-		sim.tasks[i] = sim.tasks[i].WithEnd(testSpec, jobs.End{Attempt: r.Attempt.Number, How: r.How})
+		sim.tasks[i] = sim.tasks[i].WithEnd(testSpec, jobs.End{Attempt: r.Attempt.Number, Reason: r.Reason})
 	}
-	sim.currentOwner().books.Forget(r.Attempt)
+	sim.currentOwner().allocations.MarkEndRecorded(r.Attempt)
 }
 
 // query lets the home group query the current owner for the state of a placed
@@ -210,13 +210,13 @@
 		return
 	}
 	attempt := sim.attemptOf(i, t.Attempt)
-	place, r := sim.currentOwner().books.Where(Query{Attempt: attempt, Worker: t.Worker, Boot: t.Boot}, false)
-	switch place {
-	case Ended:
+	status, r := sim.currentOwner().allocations.AttemptStatus(Query{Attempt: attempt, Worker: t.Worker, Boot: t.Boot}, false)
+	switch status {
+	case StatusEnded:
 		r.Attempt = attempt
 		sim.end(r)
-	case Absent:
-		sim.end(Report{Attempt: attempt, How: jobs.EndAbsent})
+	case StatusAbsent:
+		sim.end(Report{Attempt: attempt, Reason: jobs.EndNeverStarted})
 	}
 }
 
@@ -226,7 +226,7 @@
 	clear(w.running)
 	clear(w.done)
 	w.boot++
-	w.epoch, w.floor, w.lease = 0, 0, false
+	w.epoch, w.minSeq, w.lease = 0, 0, false
 }
 
 // expireLease expires the worker's lease, which stops its running attempts.
@@ -314,7 +314,7 @@
 			w.expireLease()
 		case 2:
 			w.expireLease()
-			for _, r := range sim.currentOwner().books.LoseWorker(w.id) {
+			for _, r := range sim.currentOwner().allocations.MarkWorkerLost(w.id) {
 				sim.end(r)
 			}
 		default:
@@ -324,39 +324,40 @@
 		if rapid.IntRange(0, 3).Draw(sim.t, "takeover") == 0 {
 			sim.takeover()
 		} else {
-			sim.currentOwner().books.Lapse(sim.nowMs)
+			sim.currentOwner().allocations.ExpireReservations(sim.nowMs)
 		}
 	}
 }
 
-// TestEvict checks that Evict selects the victims with the smallest dominant share,
-// and that only the urgent attempt can use the capacity that they free.
-func TestEvict(t *testing.T) {
+// TestSelectVictims checks that SelectVictims selects the victims with the smallest
+// dominant share, and that only the urgent attempt can use the capacity that they
+// free.
+func TestSelectVictims(t *testing.T) {
 	b := New()
-	b.SetWorkers([]Worker{{ID: "w0", Cap: jobs.Size{CPU: 8}}, {ID: "w1", Cap: jobs.Size{CPU: 8}}})
+	b.SetWorkers([]Worker{{ID: "w0", Capacity: jobs.Size{CPU: 8}}, {ID: "w1", Capacity: jobs.Size{CPU: 8}}})
 	running := func(worker string, sizes ...int64) {
-		var seen []Seen
+		var seen []ReportedAttempt
 		for i, size := range sizes {
-			seen = append(seen, Seen{Attempt: Attempt{Task: fmt.Sprint(worker, i), Number: 1}, Kind: jobs.Batch, Size: jobs.Size{CPU: size}})
+			seen = append(seen, ReportedAttempt{Attempt: Attempt{Task: fmt.Sprint(worker, i), Number: 1}, Kind: jobs.Batch, Size: jobs.Size{CPU: size}})
 		}
-		b.Inventory(worker, Inventory{Seen: seen})
+		b.ApplyInventory(worker, Inventory{Attempts: seen})
 	}
 	running("w0", 4, 4)
 	running("w1", 2, 2, 2, 2)
-	urgent := Ask{Attempt: Attempt{Task: "u", Number: 1}, Kind: jobs.Urgent, Size: jobs.Size{CPU: 2}}
+	urgent := ReserveRequest{Attempt: Attempt{Task: "u", Number: 1}, Kind: jobs.Urgent, Size: jobs.Size{CPU: 2}}
 	_, ok := b.Reserve(urgent, 0)
 	assert.Assert(t, !ok)
-	victims := b.Evict(urgent, 0, 100)
+	victims := b.SelectVictims(urgent, 0, 100)
 	assert.Equal(t, len(victims), 1)
 	assert.Equal(t, victims[0].Task, "w10")
-	assert.Equal(t, len(b.Evict(urgent, 1, 100)), 0)
-	b.Inventory("w1", Inventory{Renewal: Renewal{Floor: 1}, Seen: []Seen{
-		{Attempt: victims[0], How: jobs.EndCheckpointed},
+	assert.Equal(t, len(b.SelectVictims(urgent, 1, 100)), 0)
+	b.ApplyInventory("w1", Inventory{Renewal: Renewal{MinSeq: 1}, Attempts: []ReportedAttempt{
+		{Attempt: victims[0], Reason: jobs.EndCheckpointed},
 		{Attempt: Attempt{Task: "w11", Number: 1}, Kind: jobs.Batch, Size: jobs.Size{CPU: 2}},
 		{Attempt: Attempt{Task: "w12", Number: 1}, Kind: jobs.Batch, Size: jobs.Size{CPU: 2}},
 		{Attempt: Attempt{Task: "w13", Number: 1}, Kind: jobs.Batch, Size: jobs.Size{CPU: 2}},
 	}})
-	other := Ask{Attempt: Attempt{Task: "o", Number: 1}, Kind: jobs.Batch, Size: jobs.Size{CPU: 1}}
+	other := ReserveRequest{Attempt: Attempt{Task: "o", Number: 1}, Kind: jobs.Batch, Size: jobs.Size{CPU: 1}}
 	_, ok = b.Reserve(other, 2)
 	assert.Assert(t, !ok, "the capacity is held for the urgent attempt")
 	slot, ok := b.Reserve(urgent, 2)
--- a/internal/cell/books/report.go
+++ b/internal/cell/alloc/inventory.go
@@ -1,4 +1,4 @@
-package books
+package alloc
 
 import "lagooncourse/internal/cell/jobs"
 
@@ -7,45 +7,45 @@
 	Attempt    Attempt
 	Home       string
 	Worker     string
-	How        jobs.How
+	Reason     jobs.EndReason
 	Result     string
 	Checkpoint string
 }
 
-// Seen is one attempt in a worker's inventory.
-type Seen struct {
+// ReportedAttempt is one attempt in a worker's inventory.
+type ReportedAttempt struct {
 	Attempt    Attempt
 	Home       string
 	Kind       jobs.Kind
 	Size       jobs.Size
-	How        jobs.How // empty while the attempt runs
+	Reason     jobs.EndReason // empty while the attempt runs
 	Result     string
 	Checkpoint string
 }
 
 // Inventory is a worker's answer to a lease renewal.
 type Inventory struct {
-	Renewal // the renewal that it answers
-	Boot    int64
-	Seen    []Seen // attempts that run or have ended
+	Renewal  // the renewal that it answers
+	Boot     int64
+	Attempts []ReportedAttempt // attempts that run or have ended
 }
 
-// Inventory reconciles the worker's allocations with its inventory. It returns
+// ApplyInventory reconciles the worker's allocations with its inventory. It returns
 // the ends that were not known before.
-func (b *Books) Inventory(worker string, inv Inventory) []Report {
+func (b *Allocations) ApplyInventory(worker string, inv Inventory) []Report {
 	w := b.workers[worker]
 	if w == nil {
 		return nil
 	}
 	w.boot = inv.Boot
-	for _, attempt := range inv.Forget {
+	for _, attempt := range inv.Recorded {
 		if a := w.allocations[attempt]; a != nil && a.recorded {
 			b.remove(w, a)
 		}
 	}
 	var reports []Report
-	reported := make(map[Attempt]bool, len(inv.Seen))
-	for _, s := range inv.Seen {
+	reported := make(map[Attempt]bool, len(inv.Attempts))
+	for _, s := range inv.Attempts {
 		reported[s.Attempt] = true
 		if r, ok := b.reconcileReported(w, s); ok {
 			reports = append(reports, r)
@@ -53,7 +53,7 @@
 	}
 	for attempt, a := range w.allocations {
 		if !reported[attempt] {
-			if r, ok := b.reconcileMissing(w, a, inv.Floor); ok {
+			if r, ok := b.reconcileMissing(w, a, inv.MinSeq); ok {
 				reports = append(reports, r)
 			}
 		}
@@ -64,13 +64,13 @@
 
 // reconcileReported updates the allocation of an attempt that the worker
 // reports. It returns true if the attempt's end was not known before.
-func (b *Books) reconcileReported(w *workerState, s Seen) (Report, bool) {
+func (b *Allocations) reconcileReported(w *workerState, s ReportedAttempt) (Report, bool) {
 	a := w.allocations[s.Attempt]
 	if a == nil {
 		a = &allocation{attempt: s.Attempt, home: s.Home, size: s.Size, kind: s.Kind}
 		b.allocate(w, a)
 	}
-	if s.How == "" {
+	if s.Reason == "" {
 		if a.phase != ended {
 			a.phase, a.inFlight = running, false
 		}
@@ -80,7 +80,7 @@
 		return Report{}, false
 	}
 	end := Report{
-		Attempt: s.Attempt, Home: a.home, Worker: w.ID, How: s.How, Result: s.Result, Checkpoint: s.Checkpoint,
+		Attempt: s.Attempt, Home: a.home, Worker: w.ID, Reason: s.Reason, Result: s.Result, Checkpoint: s.Checkpoint,
 	}
 	b.finish(w, a, end)
 	return end, true
@@ -88,36 +88,36 @@
 
 // reconcileMissing updates an allocation that the worker does not report. It
 // returns true if this shows that the attempt has ended.
-func (b *Books) reconcileMissing(w *workerState, a *allocation, floor uint64) (Report, bool) {
-	how := jobs.EndLost
+func (b *Allocations) reconcileMissing(w *workerState, a *allocation, minSeq uint64) (Report, bool) {
+	reason := jobs.EndLost
 	switch a.phase {
 	case reserved, ended:
 		return Report{}, false
 	case running:
 		// A start that was confirmed while the renewal was in flight may be
 		// missing from the inventory.
-		if a.seq >= floor {
+		if a.seq >= minSeq {
 			return Report{}, false
 		}
 	case sending:
-		if a.inFlight || a.seq >= floor {
+		if a.inFlight || a.seq >= minSeq {
 			return Report{}, false
 		}
 		// A worker that has not restarted would report the attempt if it had
 		// started. After a restart the attempt may have run.
 		if a.boot == w.boot {
-			how = jobs.EndAbsent
+			reason = jobs.EndNeverStarted
 		}
 	}
-	end := Report{Attempt: a.attempt, Home: a.home, Worker: w.ID, How: how}
+	end := Report{Attempt: a.attempt, Home: a.home, Worker: w.ID, Reason: reason}
 	b.finish(w, a, end)
 	b.deny(a.attempt)
 	return end, true
 }
 
-// LoseWorker ends every attempt on a worker whose lease is certain to have
+// MarkWorkerLost ends every attempt on a worker whose lease is certain to have
 // expired. The worker is not schedulable until its next inventory.
-func (b *Books) LoseWorker(worker string) []Report {
+func (b *Allocations) MarkWorkerLost(worker string) []Report {
 	w := b.workers[worker]
 	if w == nil {
 		return nil
@@ -130,7 +130,7 @@
 			b.remove(w, a)
 			b.deny(attempt)
 		case sending, running:
-			end := Report{Attempt: attempt, Home: a.home, Worker: worker, How: jobs.EndLost}
+			end := Report{Attempt: attempt, Home: a.home, Worker: worker, Reason: jobs.EndLost}
 			b.finish(w, a, end)
 			b.deny(attempt)
 			reports = append(reports, end)
@@ -139,31 +139,31 @@
 	return reports
 }
 
-// Unready makes a worker unschedulable until its next inventory, without ending
+// MarkNotReady makes a worker unschedulable until its next inventory, without ending
 // its attempts.
-func (b *Books) Unready(worker string) {
+func (b *Allocations) MarkNotReady(worker string) {
 	if w := b.workers[worker]; w != nil {
 		w.ready = false
 	}
 }
 
-// Forget records that the attempt's home group has recorded its end. The attempt
-// is removed after a renewal has listed it to the worker.
-func (b *Books) Forget(attempt Attempt) {
+// MarkEndRecorded records that the attempt's home group has recorded its end. The
+// attempt is removed after a renewal has listed it to the worker.
+func (b *Allocations) MarkEndRecorded(attempt Attempt) {
 	if _, a := b.find(attempt); a != nil && a.phase == ended {
 		a.recorded = true
 	}
 }
 
-// Place is the state of an attempt as returned by Where.
-type Place string
+// AttemptStatus is the state of an attempt as returned by Allocations.AttemptStatus.
+type AttemptStatus string
 
-// Values of Place.
+// Values of AttemptStatus.
 const (
-	There  Place = "there"  // the attempt runs
-	Ended  Place = "ended"  // the attempt has ended; the report has the details
-	Absent Place = "absent" // the attempt has not started and never will
-	Unsure Place = "unsure" // not known yet; query again later
+	StatusRunning AttemptStatus = "there"  // the attempt runs
+	StatusEnded   AttemptStatus = "ended"  // the attempt has ended; the report has the details
+	StatusAbsent  AttemptStatus = "absent" // the attempt has not started and never will
+	StatusUnknown AttemptStatus = "unsure" // not known yet; query again later
 )
 
 // Query asks for the state of an attempt that was placed on a worker.
@@ -173,43 +173,43 @@
 	Boot    int64 // the worker's boot id when it was selected
 }
 
-// Where answers a query. It denies an attempt that it reports as absent or lost,
-// so that a late start request cannot make the answer wrong.
+// AttemptStatus answers a query. It denies an attempt that it reports as absent or
+// lost, so that a late start request cannot make the answer wrong.
 //
 // The argument leasesExpired states that every lease granted by previous owners is
 // certain to have expired. A worker that is not in the host list then runs no
 // attempt of the group.
-func (b *Books) Where(q Query, leasesExpired bool) (Place, Report) {
+func (b *Allocations) AttemptStatus(q Query, leasesExpired bool) (AttemptStatus, Report) {
 	if w, a := b.find(q.Attempt); a != nil {
 		switch a.phase {
 		case ended:
-			return Ended, a.end
+			return StatusEnded, a.end
 		case running:
-			return There, Report{}
+			return StatusRunning, Report{}
 		case sending:
-			return Unsure, Report{}
+			return StatusUnknown, Report{}
 		}
 		b.remove(w, a)
 		b.deny(q.Attempt)
-		return Absent, Report{}
+		return StatusAbsent, Report{}
 	}
 	w := b.workers[q.Worker]
 	switch {
 	case w != nil && w.ready && w.boot == q.Boot:
 		b.deny(q.Attempt)
-		return Absent, Report{}
+		return StatusAbsent, Report{}
 	case w != nil && (w.ready || w.lost), w == nil && leasesExpired:
 		// The worker has restarted, its lease has expired, or it is not listed and
 		// all leases have expired.
 		b.deny(q.Attempt)
-		return Ended, Report{Attempt: q.Attempt, Worker: q.Worker, How: jobs.EndLost}
+		return StatusEnded, Report{Attempt: q.Attempt, Worker: q.Worker, Reason: jobs.EndLost}
 	}
-	return Unsure, Report{}
+	return StatusUnknown, Report{}
 }
 
 // Reports returns the ends that the home groups have not recorded yet, by home
 // group.
-func (b *Books) Reports() map[string][]Report {
+func (b *Allocations) Reports() map[string][]Report {
 	byHome := map[string][]Report{}
 	for _, id := range b.workerIDs {
 		for _, a := range b.workers[id].allocations {
@@ -231,7 +231,7 @@
 }
 
 // Running returns the attempts that are confirmed to run on the worker.
-func (b *Books) Running(worker string) []RunningAttempt {
+func (b *Allocations) Running(worker string) []RunningAttempt {
 	w := b.workers[worker]
 	if w == nil {
 		return nil
@@ -246,7 +246,7 @@
 }
 
 // WorkerOf returns the worker to which the attempt is allocated.
-func (b *Books) WorkerOf(attempt Attempt) (string, bool) {
+func (b *Allocations) WorkerOf(attempt Attempt) (string, bool) {
 	id, ok := b.workerOf[attempt]
 	return id, ok
 }
--- a/internal/cell/books/main_test.go
+++ b/internal/cell/alloc/main_test.go
@@ -1,4 +1,4 @@
-package books
+package alloc
 
 import (
 	"os"
--- a/internal/cell/books/evict.go
+++ b/internal/cell/alloc/preempt.go
@@ -1,4 +1,4 @@
-package books
+package alloc
 
 import (
 	"sort"
@@ -6,36 +6,36 @@
 	"lagooncourse/internal/cell/jobs"
 )
 
-// Evict selects running batch attempts of one worker to stop so that an urgent
-// ask fits, and holds the worker's free capacity for the ask until untilMs. It
-// returns nil if no selection makes the ask fit, or if capacity is already held
+// SelectVictims selects running batch attempts of one worker to stop so that an urgent
+// request fits, and holds the worker's free capacity for the request until untilMs. It
+// returns nil if no selection makes the request fit, or if capacity is already held
 // for it.
 //
 // It selects the worker whose victims take the smallest dominant share of its
 // capacity. On a worker the attempts that started last are stopped first because
 // they lose the least progress. Attempts known only from an inventory, such as
 // those placed before a takeover, have no sequence number and are stopped last.
-func (b *Books) Evict(ask Ask, nowMs, untilMs int64) []Attempt {
+func (b *Allocations) SelectVictims(req ReserveRequest, nowMs, untilMs int64) []Attempt {
 	var best *workerState
 	var bestVictims []*allocation
 	var bestSize jobs.Size
 	for _, id := range b.workerIDs {
 		w := b.workers[id]
-		if nowMs < w.heldUntilMs && w.heldFor == ask.Attempt {
+		if nowMs < w.heldUntilMs && w.heldFor == req.Attempt {
 			return nil
 		}
-		if !w.schedulable() || w.mode == Probe || nowMs < w.heldUntilMs || contains(ask.Exclude, id) {
+		if !w.schedulable() || w.mode == ModeProbe || nowMs < w.heldUntilMs || contains(req.Exclude, id) {
 			continue
 		}
-		victims, size, ok := w.victims(ask.Size)
-		if ok && (best == nil || size.Dominant(w.Cap) < bestSize.Dominant(best.Cap)) {
+		victims, size, ok := w.victims(req.Size)
+		if ok && (best == nil || size.DominantShare(w.Capacity) < bestSize.DominantShare(best.Capacity)) {
 			best, bestVictims, bestSize = w, victims, size
 		}
 	}
 	if best == nil {
 		return nil
 	}
-	best.heldFor, best.heldUntilMs = ask.Attempt, untilMs
+	best.heldFor, best.heldUntilMs = req.Attempt, untilMs
 	list := make([]Attempt, len(bestVictims))
 	for i, a := range bestVictims {
 		list[i] = a.attempt
@@ -60,10 +60,10 @@
 	})
 	free := w.free()
 	for _, a := range candidates {
-		if need.Fits(free) {
+		if need.FitsIn(free) {
 			break
 		}
 		toStop, size, free = append(toStop, a), size.Plus(a.size), free.Plus(a.size)
 	}
-	return toStop, size, need.Fits(free)
+	return toStop, size, need.FitsIn(free)
 }
--- a/internal/cell/config/config.go
+++ b/internal/cell/config/config.go
@@ -20,7 +20,7 @@
 //
 // # Usage
 //
-//	m := config.NewMachine()
+//	m := config.NewStateMachine()
 //	m.Apply(offset, data) // from stream.Replay
 //	s := m.State()
 //	team, err := s.TeamOfKey(key)
@@ -59,16 +59,16 @@
 	Deleted bool      `json:"deleted,omitempty"`
 }
 
-// Allow is the allow list of a team's plan. Its items have the form "kind:name",
+// AllowList is the allow list of a team's plan. Its items have the form "kind:name",
 // such as "queue:deep", "service:triage" or "az:west"; "kind:*" matches all names.
-type Allow struct {
+type AllowList struct {
 	Team    string   `json:"team"`
 	Items   []string `json:"items"` // sorted
 	Version Version  `json:"version"`
 }
 
 // Has reports whether the list contains kind:name or the wildcard of the kind.
-func (a Allow) Has(kind, name string) bool {
+func (a AllowList) Has(kind, name string) bool {
 	for _, item := range a.Items {
 		k, n, _ := strings.Cut(item, ":")
 		if k == kind && (n == "*" || n == name) {
@@ -79,7 +79,7 @@
 }
 
 // WithItems returns the list with the items added or removed.
-func (a Allow) WithItems(items []string, remove bool) Allow {
+func (a AllowList) WithItems(items []string, remove bool) AllowList {
 	set := map[string]bool{}
 	for _, item := range a.Items {
 		set[item] = true
@@ -97,14 +97,14 @@
 	return a
 }
 
-// Key is an API key. Only the hash of its secret is stored. A withdrawn key stays
+// Key is an API key. Only the hash of its secret is stored. A revoked key stays
 // in the state with its version, so that a late edit cannot restore it.
 type Key struct {
-	ID        string  `json:"id"`
-	Team      string  `json:"team"`
-	Hash      string  `json:"-"`
-	Withdrawn bool    `json:"withdrawn"`
-	Version   Version `json:"version"`
+	ID      string  `json:"id"`
+	Team    string  `json:"team"`
+	Hash    string  `json:"-"`
+	Revoked bool    `json:"withdrawn"`
+	Version Version `json:"version"`
 }
 
 // Az is the configuration of an availability zone.
@@ -121,8 +121,8 @@
 	Amount jobs.Size
 }
 
-// Result is the outcome of an edit.
-type Result struct {
+// EditResult is the outcome of an edit.
+type EditResult struct {
 	Edit     string  `json:"edit"`
 	Accepted bool    `json:"accepted"`
 	Offset   int64   `json:"offset"`           // offset of the edit
@@ -133,21 +133,21 @@
 // State is the configuration at one offset. It is immutable: With returns a new
 // State that shares the unchanged maps.
 type State struct {
-	Offset  int64 // offset of the last applied record; -1 before the first
-	Plans   map[string]Plan
-	Allows  map[string]Allow
-	Keys    map[string]Key
-	Azs     map[string]Az
-	Authors map[string]string               // object -> operator of its last accepted edit
-	Grants  map[string]map[string]jobs.Size // team -> group -> amount
-	Fences  map[string]Fence                // group -> highest fence of its grant records
-	Results map[string]Result               // edit id -> result, of the last maxResults edits
-	Recent  []string                        // ids in Results, oldest first
+	Offset        int64 // offset of the last applied record; -1 before the first
+	Plans         map[string]Plan
+	Allows        map[string]AllowList
+	Keys          map[string]Key
+	Azs           map[string]Az
+	Authors       map[string]string               // object -> operator of its last accepted edit
+	Grants        map[string]map[string]jobs.Size // team -> group -> amount
+	FencingTokens map[string]FencingToken         // group -> highest fencing token of its grant records
+	Results       map[string]EditResult           // edit id -> result, of the last maxResults edits
+	Recent        []string                        // ids in Results, oldest first
 }
 
-// Fence is the fencing token of a group's grant records. A record is ignored
+// FencingToken is the fencing token of a group's grant records. A record is ignored
 // unless its fence is higher than that of every earlier record of the group.
-type Fence struct {
+type FencingToken struct {
 	Epoch uint64 // compared first
 	Seq   uint64
 }
@@ -159,9 +159,9 @@
 
 func newState() *State {
 	return &State{
-		Offset: -1, Plans: map[string]Plan{}, Allows: map[string]Allow{}, Keys: map[string]Key{},
+		Offset: -1, Plans: map[string]Plan{}, Allows: map[string]AllowList{}, Keys: map[string]Key{},
 		Azs: map[string]Az{}, Authors: map[string]string{}, Grants: map[string]map[string]jobs.Size{},
-		Fences: map[string]Fence{}, Results: map[string]Result{},
+		FencingTokens: map[string]FencingToken{}, Results: map[string]EditResult{},
 	}
 }
 
@@ -172,15 +172,15 @@
 }
 
 // TeamOfKey returns the team of a key in the form "id.secret". The error code is
-// NoKey for an unknown key or a wrong secret, and Denied for a withdrawn key or a
-// team without a plan.
+// Unauthenticated for an unknown key or a wrong secret, and Denied for a revoked
+// key or a team without a plan.
 func (s *State) TeamOfKey(key string) (team string, err error) {
 	id, secret, _ := strings.Cut(key, ".")
 	k, ok := s.Keys[id]
 	if !ok || k.Hash != HashSecret(secret) {
-		return "", fault.New(fault.NoKey, fault.NotRun, "the key is not known")
+		return "", fault.New(fault.Unauthenticated, fault.NotRun, "the key is not known")
 	}
-	if k.Withdrawn {
+	if k.Revoked {
 		return "", fault.New(fault.Denied, fault.NotRun, "key %q is withdrawn", id)
 	}
 	if p, ok := s.Plans[k.Team]; !ok || p.Deleted {
@@ -189,9 +189,9 @@
 	return k.Team, nil
 }
 
-// Allowed returns an error unless the team has a plan and its allow list contains
+// CheckAllowed returns an error unless the team has a plan and its allow list contains
 // kind:name.
-func (s *State) Allowed(team, kind, name string) error {
+func (s *State) CheckAllowed(team, kind, name string) error {
 	if p, ok := s.Plans[team]; !ok || p.Deleted {
 		return fault.New(fault.Denied, fault.NotRun, "team %q has no plan", team)
 	}
@@ -201,8 +201,8 @@
 	return nil
 }
 
-// AzOut reports whether the availability zone is out of service.
-func (s *State) AzOut(az string) bool { return s.Azs[az].Out }
+// AzOutOfService reports whether the availability zone is out of service.
+func (s *State) AzOutOfService(az string) bool { return s.Azs[az].Out }
 
 // Limit returns the team's limit, or zero if it has no plan.
 func (s *State) Limit(team string) jobs.Size {
@@ -230,24 +230,24 @@
 	return 0
 }
 
-// Machine is the replicated state machine of the stream "cell". State can be called
-// concurrently with the other methods.
-type Machine struct {
+// StateMachine is the replicated state machine of the stream "cell". State can be
+// called concurrently with the other methods.
+type StateMachine struct {
 	state atomic.Pointer[State]
 }
 
-// NewMachine returns a machine with an empty state.
-func NewMachine() *Machine {
-	m := &Machine{}
+// NewStateMachine returns a machine with an empty state.
+func NewStateMachine() *StateMachine {
+	m := &StateMachine{}
 	m.state.Store(newState())
 	return m
 }
 
 // State returns the current state.
-func (m *Machine) State() *State { return m.state.Load() }
+func (m *StateMachine) State() *State { return m.state.Load() }
 
 // Apply applies the next record. A record that cannot be decoded is ignored.
-func (m *Machine) Apply(offset int64, data []byte) {
+func (m *StateMachine) Apply(offset int64, data []byte) {
 	rec, err := frame.Decode[Record](data)
 	if err != nil {
 		return
@@ -256,10 +256,10 @@
 }
 
 // Snapshot returns the encoded state.
-func (m *Machine) Snapshot() ([]byte, error) { return frame.Encode(m.state.Load()) }
+func (m *StateMachine) Snapshot() ([]byte, error) { return frame.Encode(m.state.Load()) }
 
 // Restore replaces the state with the result of Snapshot.
-func (m *Machine) Restore(data []byte) error {
+func (m *StateMachine) Restore(data []byte) error {
 	s, err := frame.Decode[State](data)
 	if err != nil {
 		return err
--- a/internal/cell/config/config_test.go
+++ b/internal/cell/config/config_test.go
@@ -17,17 +17,17 @@
 type referenceModel struct {
 	version map[string]Version // object -> version
 	value   map[string]string  // object -> content as text
-	results map[string]Result
+	results map[string]EditResult
 	authors map[string]string
 	limit   map[string]int64            // team -> CPU limit
 	grants  map[string]map[string]int64 // team -> group -> CPU grant
-	fences  map[string]Fence
+	fences  map[string]FencingToken
 }
 
 func rebuild(records []Record) referenceModel {
 	n := referenceModel{
-		version: map[string]Version{}, value: map[string]string{}, results: map[string]Result{}, authors: map[string]string{},
-		limit: map[string]int64{}, grants: map[string]map[string]int64{}, fences: map[string]Fence{},
+		version: map[string]Version{}, value: map[string]string{}, results: map[string]EditResult{}, authors: map[string]string{},
+		limit: map[string]int64{}, grants: map[string]map[string]int64{}, fences: map[string]FencingToken{},
 	}
 	for i, r := range records {
 		if r.Edit != nil {
@@ -46,31 +46,31 @@
 	}
 	o := e.Object()
 	if n.version[o] != e.Base {
-		n.results[e.ID] = Result{Edit: e.ID, Offset: offset, Version: n.version[o], Winner: n.authors[o]}
+		n.results[e.ID] = EditResult{Edit: e.ID, Offset: offset, Version: n.version[o], Winner: n.authors[o]}
 		return
 	}
 	n.version[o], n.authors[o] = Version(offset+1), e.By
-	n.results[e.ID] = Result{Edit: e.ID, Accepted: true, Offset: offset, Version: n.version[o]}
-	switch e.Kind {
+	n.results[e.ID] = EditResult{Edit: e.ID, Accepted: true, Offset: offset, Version: n.version[o]}
+	switch e.Operation {
 	case SetPlan:
 		n.value[o], n.limit[e.Name] = fmt.Sprint(e.Share, e.Limit), e.Limit.CPU
 	case DeletePlan:
 		n.value[o], n.limit[e.Name] = "deleted", 0
-	case AzOut, AzBack:
-		n.value[o] = fmt.Sprint(e.Kind == AzOut)
-	case GiveKey:
+	case TakeAzOut, ReturnAz:
+		n.value[o] = fmt.Sprint(e.Operation == TakeAzOut)
+	case IssueKey:
 		n.value[o] = "given " + e.Team
-	case WithdrawKey:
+	case RevokeKey:
 		n.value[o] = "withdrawn"
 	}
 }
 
 func (n referenceModel) grant(g Grants) {
 	f := n.fences[g.Group]
-	if g.Fence.Epoch < f.Epoch || g.Fence.Epoch == f.Epoch && g.Fence.Seq <= f.Seq {
+	if g.FencingToken.Epoch < f.Epoch || g.FencingToken.Epoch == f.Epoch && g.FencingToken.Seq <= f.Seq {
 		return
 	}
-	n.fences[g.Group] = g.Fence
+	n.fences[g.Group] = g.FencingToken
 	for _, item := range g.Items {
 		sum := item.Amount.CPU
 		for group, amount := range n.grants[item.Team] {
@@ -106,7 +106,7 @@
 		if !ok {
 			return ""
 		}
-		if k.Withdrawn {
+		if k.Revoked {
 			return "withdrawn"
 		}
 		return "given " + k.Team
@@ -126,18 +126,18 @@
 	name := rapid.SampledFrom(names).Draw(t, "name")
 	if rapid.Bool().Draw(t, "grant") {
 		return Record{Grants: &Grants{
-			Group: rapid.SampledFrom([]string{"g", "h", "i"}).Draw(t, "group"),
-			Fence: Fence{Epoch: rapid.Uint64Range(1, 3).Draw(t, "epoch"), Seq: rapid.Uint64Range(1, 6).Draw(t, "seq")},
-			Items: []Grant{{Team: name, Amount: jobs.Size{CPU: rapid.Int64Range(0, 12).Draw(t, "amount")}}},
+			Group:        rapid.SampledFrom([]string{"g", "h", "i"}).Draw(t, "group"),
+			FencingToken: FencingToken{Epoch: rapid.Uint64Range(1, 3).Draw(t, "epoch"), Seq: rapid.Uint64Range(1, 6).Draw(t, "seq")},
+			Items:        []Grant{{Team: name, Amount: jobs.Size{CPU: rapid.Int64Range(0, 12).Draw(t, "amount")}}},
 		}}
 	}
 	e := Edit{
-		ID:   fmt.Sprintf("e%d", rapid.IntRange(0, 40).Draw(t, "id")),
-		Kind: rapid.SampledFrom([]Kind{SetPlan, SetPlan, DeletePlan, GiveKey, WithdrawKey, AzOut, AzBack}).Draw(t, "kind"),
-		Name: name, By: rapid.SampledFrom([]string{"kim", "lee"}).Draw(t, "by"),
+		ID:        fmt.Sprintf("e%d", rapid.IntRange(0, 40).Draw(t, "id")),
+		Operation: rapid.SampledFrom([]Operation{SetPlan, SetPlan, DeletePlan, IssueKey, RevokeKey, TakeAzOut, ReturnAz}).Draw(t, "kind"),
+		Name:      name, By: rapid.SampledFrom([]string{"kim", "lee"}).Draw(t, "by"),
 		Base:  rapid.SampledFrom(versions).Draw(t, "base"),
 		Share: 1, Limit: jobs.Size{CPU: rapid.Int64Range(0, 20).Draw(t, "limit")},
-		Team: "a", Secret: HashSecret("s"),
+		Team: "a", SecretHash: HashSecret("s"),
 	}
 	return Record{Edit: &e}
 }
@@ -146,7 +146,7 @@
 // record. It checks that the sum of a team's ceilings never exceeds its limit.
 func TestAgainstReferenceModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := NewMachine()
+		m := NewStateMachine()
 		var records []Record
 		versions := []Version{0}
 		for i := range rapid.IntRange(1, 40).Draw(t, "n") {
@@ -165,10 +165,10 @@
 }
 
 // restart restores a snapshot of m into a new machine.
-func restart(t *rapid.T, m *Machine) *Machine {
+func restart(t *rapid.T, m *StateMachine) *StateMachine {
 	data, err := m.Snapshot()
 	assert.NilError(t, err)
-	n := NewMachine()
+	n := NewStateMachine()
 	assert.NilError(t, n.Restore(data))
 	return n
 }
@@ -184,7 +184,7 @@
 		for _, group := range []string{"g", "h", "i"} {
 			assert.Equal(t, s.Grants[name][group].CPU, n.grants[name][group], "grant of %s to %s", name, group)
 			granted += s.Grants[name][group].CPU
-			ceilings += s.Ceiling(name, group).CPU
+			ceilings += s.EffectiveLimit(name, group).CPU
 		}
 		assert.Equal(t, s.Granted(name).CPU, granted)
 		assert.Assert(t, ceilings <= s.Limit(name).CPU, "ceilings of %s sum up to %d, limit %d", name, ceilings, s.Limit(name).CPU)
@@ -192,10 +192,10 @@
 	assert.Assert(t, maps.Equal(s.Results, n.results), "results %v, want %v", s.Results, n.results)
 }
 
-// TestKeys checks TeamOfKey for an unknown, valid and withdrawn key and for a key
+// TestKeys checks TeamOfKey for an unknown, valid and revoked key and for a key
 // of a team without a plan, and the matching of allow list items.
 func TestKeys(t *testing.T) {
-	m := NewMachine()
+	m := NewStateMachine()
 	apply := func(offset int64, e Edit) {
 		e.ID = fmt.Sprint("e", offset)
 		data, err := frame.Encode(Record{Edit: &e})
@@ -211,30 +211,30 @@
 		return team
 	}
 	assert.Equal(t, team(), "the key is not known")
-	apply(0, Edit{Kind: GiveKey, Name: "k", Team: "lab", Secret: HashSecret("s")})
+	apply(0, Edit{Operation: IssueKey, Name: "k", Team: "lab", SecretHash: HashSecret("s")})
 	assert.Equal(t, team(), `team "lab" has no plan`)
-	apply(1, Edit{Kind: SetPlan, Name: "lab", Share: 1})
+	apply(1, Edit{Operation: SetPlan, Name: "lab", Share: 1})
 	assert.Equal(t, team(), "lab")
-	apply(2, Edit{Kind: DeletePlan, Name: "lab", Base: 2})
+	apply(2, Edit{Operation: DeletePlan, Name: "lab", Base: 2})
 	assert.Equal(t, team(), `team "lab" has no plan`)
-	apply(3, Edit{Kind: SetPlan, Name: "lab", Share: 1, Base: 3})
-	apply(4, Edit{Kind: WithdrawKey, Name: "k", Base: 1})
+	apply(3, Edit{Operation: SetPlan, Name: "lab", Share: 1, Base: 3})
+	apply(4, Edit{Operation: RevokeKey, Name: "k", Base: 1})
 	assert.Equal(t, team(), `key "k" is withdrawn`)
-	apply(5, Edit{Kind: AddAllow, Name: "lab", Items: []string{"queue:deep", "az:*"}})
+	apply(5, Edit{Operation: AddAllow, Name: "lab", Items: []string{"queue:deep", "az:*"}})
 	s := m.State()
-	assert.NilError(t, s.Allowed("lab", "queue", "deep"))
-	assert.NilError(t, s.Allowed("lab", "az", "west"))
-	assert.ErrorContains(t, s.Allowed("lab", "queue", "open"), `does not allow queue "open"`)
+	assert.NilError(t, s.CheckAllowed("lab", "queue", "deep"))
+	assert.NilError(t, s.CheckAllowed("lab", "az", "west"))
+	assert.ErrorContains(t, s.CheckAllowed("lab", "queue", "open"), `does not allow queue "open"`)
 }
 
 // FuzzApply checks that invalid records do not crash the machine.
 func FuzzApply(f *testing.F) {
-	data, err := frame.Encode(Record{Edit: &Edit{ID: "e", Kind: AzOut, Name: "a"}})
+	data, err := frame.Encode(Record{Edit: &Edit{ID: "e", Operation: TakeAzOut, Name: "a"}})
 	assert.NilError(f, err)
 	f.Add(data)
 	f.Add([]byte{0xc1})
 	f.Fuzz(func(t *testing.T, data []byte) {
-		m := NewMachine()
+		m := NewStateMachine()
 		m.Apply(0, data)
 		if o := m.State().Offset; o != -1 && o != 0 {
 			t.Fatalf("offset %d after one record", o)
--- a/internal/cell/config/edit.go
+++ b/internal/cell/config/edit.go
@@ -9,45 +9,45 @@
 	"lagooncourse/internal/cell/jobs"
 )
 
-// Kind is the operation of an edit.
-type Kind string
+// Operation is the operation of an edit.
+type Operation string
 
 // Values of Kind.
 const (
-	SetPlan     Kind = "setPlan"
-	DeletePlan  Kind = "deletePlan"
-	AddAllow    Kind = "addAllow"
-	RemoveAllow Kind = "removeAllow"
-	GiveKey     Kind = "giveKey"
-	WithdrawKey Kind = "withdrawKey"
-	AzOut       Kind = "azOut"
-	AzBack      Kind = "azBack"
+	SetPlan     Operation = "setPlan"
+	DeletePlan  Operation = "deletePlan"
+	AddAllow    Operation = "addAllow"
+	RemoveAllow Operation = "removeAllow"
+	IssueKey    Operation = "giveKey"
+	RevokeKey   Operation = "withdrawKey"
+	TakeAzOut   Operation = "azOut"
+	ReturnAz    Operation = "azBack"
 )
 
 // Edit is an operator's change to one object.
 type Edit struct {
-	ID   string  `json:"id"` // idempotency key
-	Kind Kind    `json:"kind"`
-	Name string  `json:"name"` // team, key id or availability zone
-	Base Version `json:"base"` // version of the object on which the edit is based
-	By   string  `json:"by"`   // name of the operator
-
-	Share  int64     `json:"share,omitempty"`  // for SetPlan
-	Limit  jobs.Size `json:"limit,omitzero"`   // for SetPlan
-	Items  []string  `json:"items,omitempty"`  // for AddAllow and RemoveAllow
-	Team   string    `json:"team,omitempty"`   // for GiveKey
-	Secret string    `json:"secret,omitempty"` // for GiveKey: hash of the key's secret, as returned by HashSecret
+	ID        string    `json:"id"` // idempotency key
+	Operation Operation `json:"kind"`
+	Name      string    `json:"name"` // team, key id or availability zone
+	Base      Version   `json:"base"` // version of the object on which the edit is based
+	By        string    `json:"by"`   // name of the operator
+
+	Share      int64     `json:"share,omitempty"`  // for SetPlan
+	Limit      jobs.Size `json:"limit,omitzero"`   // for SetPlan
+	Items      []string  `json:"items,omitempty"`  // for AddAllow and RemoveAllow
+	Team       string    `json:"team,omitempty"`   // for IssueKey
+	SecretHash string    `json:"secret,omitempty"` // for IssueKey: hash of the key's secret, as returned by HashSecret
 }
 
 // Object returns the name of the object that the edit changes, such as
 // "plan/lab".
 func (e Edit) Object() string {
-	switch e.Kind {
+	switch e.Operation {
 	case SetPlan, DeletePlan:
 		return "plan/" + e.Name
 	case AddAllow, RemoveAllow:
 		return "allow/" + e.Name
-	case GiveKey, WithdrawKey:
+	case IssueKey, RevokeKey:
 		return "key/" + e.Name
 	}
 	return "az/" + e.Name
@@ -71,34 +71,34 @@
 		return err
 	}
 	if e.Base < 0 {
-		return fault.Field("base", e.Base, "must not be negative")
+		return fault.InvalidField("base", e.Base, "must not be negative")
 	}
-	switch e.Kind {
+	switch e.Operation {
 	case SetPlan:
 		return e.checkPlan()
 	case AddAllow, RemoveAllow:
 		return e.checkItems()
-	case GiveKey:
-		if len(e.Secret) != len(HashSecret("")) {
-			return fault.Field("secret", e.Secret, "must be the hash of the key's secret")
+	case IssueKey:
+		if len(e.SecretHash) != len(HashSecret("")) {
+			return fault.InvalidField("secret", e.SecretHash, "must be the hash of the key's secret")
 		}
 		return jobs.CheckName("team", e.Team)
-	case DeletePlan, WithdrawKey, AzOut, AzBack:
+	case DeletePlan, RevokeKey, TakeAzOut, ReturnAz:
 		return nil
 	}
-	return fault.Field("kind", e.Kind, "must be a known kind of edit")
+	return fault.InvalidField("kind", e.Operation, "must be a known kind of edit")
 }
 
 func (e Edit) checkPlan() error {
 	if e.Share < 1 || e.Share > MaxShare {
-		return fault.Field("share", e.Share, "must lie between 1 and %d", MaxShare)
+		return fault.InvalidField("share", e.Share, "must lie between 1 and %d", MaxShare)
 	}
 	for _, d := range []struct {
 		field string
 		v     int64
 	}{{"limit.cpuMillis", e.Limit.CPU}, {"limit.memoryMiB", e.Limit.Mem}, {"limit.accelerators", e.Limit.Accel}} {
 		if d.v < 0 || d.v > jobs.Unlimited {
-			return fault.Field(d.field, d.v, "must lie between 0 and %d", jobs.Unlimited)
+			return fault.InvalidField(d.field, d.v, "must lie between 0 and %d", jobs.Unlimited)
 		}
 	}
 	return nil
@@ -106,12 +106,12 @@
 
 func (e Edit) checkItems() error {
 	if len(e.Items) == 0 || len(e.Items) > MaxItems {
-		return fault.Field("items", len(e.Items), "must list 1 to %d items", MaxItems)
+		return fault.InvalidField("items", len(e.Items), "must list 1 to %d items", MaxItems)
 	}
 	for _, item := range e.Items {
 		kind, name, ok := strings.Cut(item, ":")
 		if !ok || !slices.Contains(itemKinds, kind) {
-			return fault.Field("items", item, "must have the form KIND:NAME with a kind of %v", itemKinds)
+			return fault.InvalidField("items", item, "must have the form KIND:NAME with a kind of %v", itemKinds)
 		}
 		if name == "*" {
 			continue
@@ -149,7 +149,7 @@
 		return
 	}
 	object := e.Object()
-	r := Result{Edit: e.ID, Offset: offset, Version: s.VersionOf(object)}
+	r := EditResult{Edit: e.ID, Offset: offset, Version: s.VersionOf(object)}
 	if e.Check() == nil && r.Version == e.Base {
 		r.Accepted, r.Version = true, Version(offset+1)
 		s.applyAccepted(e, r.Version)
@@ -161,28 +161,28 @@
 }
 
 func (s *State) applyAccepted(e Edit, v Version) {
-	switch e.Kind {
+	switch e.Operation {
 	case SetPlan:
 		s.Plans = cloneAndSet(s.Plans, e.Name, Plan{Team: e.Name, Share: e.Share, Limit: e.Limit, Version: v})
 	case DeletePlan:
 		s.Plans = cloneAndSet(s.Plans, e.Name, Plan{Team: e.Name, Version: v, Deleted: true})
 	case AddAllow, RemoveAllow:
-		a := s.Allows[e.Name].WithItems(e.Items, e.Kind == RemoveAllow)
+		a := s.Allows[e.Name].WithItems(e.Items, e.Operation == RemoveAllow)
 		a.Team, a.Version = e.Name, v
 		s.Allows = cloneAndSet(s.Allows, e.Name, a)
-	case GiveKey:
-		s.Keys = cloneAndSet(s.Keys, e.Name, Key{ID: e.Name, Team: e.Team, Hash: e.Secret, Version: v})
-	case WithdrawKey:
+	case IssueKey:
+		s.Keys = cloneAndSet(s.Keys, e.Name, Key{ID: e.Name, Team: e.Team, Hash: e.SecretHash, Version: v})
+	case RevokeKey:
 		k := s.Keys[e.Name]
-		k.ID, k.Withdrawn, k.Version = e.Name, true, v
+		k.ID, k.Revoked, k.Version = e.Name, true, v
 		s.Keys = cloneAndSet(s.Keys, e.Name, k)
-	case AzOut, AzBack:
-		s.Azs = cloneAndSet(s.Azs, e.Name, Az{Name: e.Name, Out: e.Kind == AzOut, Version: v})
+	case TakeAzOut, ReturnAz:
+		s.Azs = cloneAndSet(s.Azs, e.Name, Az{Name: e.Name, Out: e.Operation == TakeAzOut, Version: v})
 	}
 }
 
 // addResult stores r and drops the oldest result beyond maxResults.
-func (s *State) addResult(r Result) {
+func (s *State) addResult(r EditResult) {
 	s.Results = maps.Clone(s.Results)
 	s.Results[r.Edit] = r
 	recent := append(append(make([]string, 0, len(s.Recent)+1), s.Recent...), r.Edit)
--- a/internal/cell/config/grant.go
+++ b/internal/cell/config/grant.go
@@ -11,7 +11,7 @@
 //
 // A grant belongs to a group, not to a process: after a takeover the new owner
 // has the grant together with the group's record of the work that runs under it.
-// Three rules keep the sum of all groups' limits (see Ceiling) within the team's
+// Three rules keep the sum of all groups' limits (see EffectiveLimit) within the team's
 // limit:
 //
 //   - An increase is ignored if the sum of the grants would exceed the limit.
@@ -20,23 +20,23 @@
 //     one. After a takeover the new owner first appends a record with a higher
 //     fence, so that late appends of the previous owner have no effect.
 //
-// If a limit is lowered below the sum of the grants, Ceiling at once returns
+// If a limit is lowered below the sum of the grants, EffectiveLimit at once returns
 // proportionally less for every group, without new grant records.
 type Grants struct {
-	Group string
-	Fence Fence
-	Items []Grant // the Group field of the items is ignored
+	Group        string
+	FencingToken FencingToken
+	Items        []Grant // the Group field of the items is ignored
 }
 
-func (f Fence) less(o Fence) bool {
+func (f FencingToken) less(o FencingToken) bool {
 	return f.Epoch < o.Epoch || f.Epoch == o.Epoch && f.Seq < o.Seq
 }
 
 func (s *State) applyGrants(g Grants) {
-	if !s.Fences[g.Group].less(g.Fence) {
+	if !s.FencingTokens[g.Group].less(g.FencingToken) {
 		return
 	}
-	s.Fences = cloneAndSet(s.Fences, g.Group, g.Fence)
+	s.FencingTokens = cloneAndSet(s.FencingTokens, g.Group, g.FencingToken)
 	for _, item := range g.Items {
 		s.applyGrant(g.Group, item)
 	}
@@ -49,7 +49,7 @@
 	if item.Amount.CPU < 0 || item.Amount.Mem < 0 || item.Amount.Accel < 0 {
 		return
 	}
-	if !item.Amount.Fits(current) {
+	if !item.Amount.FitsIn(current) {
 		sum := s.Granted(item.Team).Minus(current).Plus(item.Amount)
 		if !increaseFits(current, item.Amount, sum, s.Limit(item.Team)) {
 			return
@@ -84,15 +84,15 @@
 	return sum
 }
 
-// Pool returns the part of the team's limit that is not granted to any group. A
+// Ungranted returns the part of the team's limit that is not granted to any group. A
 // dimension in which the grants exceed the limit is 0.
-func (s *State) Pool(team string) jobs.Size {
-	return s.Limit(team).Minus(s.Granted(team)).Most(jobs.Size{})
+func (s *State) Ungranted(team string) jobs.Size {
+	return s.Limit(team).Minus(s.Granted(team)).Max(jobs.Size{})
 }
 
-// Ceiling returns the limit of the team's running work in the group: the group's
+// EffectiveLimit returns the limit of the team's running work in the group: the group's
 // grant, scaled down if the sum of the grants exceeds the team's limit.
-func (s *State) Ceiling(team, group string) jobs.Size {
+func (s *State) EffectiveLimit(team, group string) jobs.Size {
 	granted, ok := s.Grants[team][group]
 	if !ok {
 		return jobs.Size{}
--- a/internal/cell/group/call.go
+++ b/internal/cell/group/call.go
@@ -13,7 +13,7 @@
 	ID      string        // idempotency key within the team
 	Epoch   uint64        // epoch in which the call was sent
 	AtMs    int64         // time at which the call was first recorded, in ms since 1970
-	Ran     fault.Outcome // empty while the call is in progress
+	Outcome fault.Outcome // empty while the call is in progress
 	Status  int
 	Answer  []byte // not stored if longer than MaxAnswerBytes
 	Dropped bool   // the answer was too long to store
@@ -24,7 +24,7 @@
 
 // WithOutcome returns the call with its outcome and answer.
 func (c Call) WithOutcome(ran fault.Outcome, status int, answer []byte) Call {
-	c.Ran, c.Status, c.Answer = ran, status, answer
+	c.Outcome, c.Status, c.Answer = ran, status, answer
 	if len(answer) > MaxAnswerBytes {
 		c.Answer, c.Dropped = nil, true
 	}
@@ -32,16 +32,16 @@
 }
 
 // Key returns the call's key in State.Calls.
-func (c Call) Key() string { return SubKey(c.Team, c.ID) }
+func (c Call) Key() string { return RequestKey(c.Team, c.ID) }
 
 // applyCall stores a call or its outcome. A call with the outcome NotRun is
 // removed, so that a retry can run it. Any other outcome is never changed.
 func (s *State) applyCall(c Call) {
 	old, seen := s.Calls[c.Key()]
-	if seen && old.Ran != "" {
+	if seen && old.Outcome != "" {
 		return
 	}
-	if c.Ran == fault.NotRun {
+	if c.Outcome == fault.NotRun {
 		delete(s.Calls, c.Key())
 		return
 	}
--- a/internal/cell/group/group.go
+++ b/internal/cell/group/group.go
@@ -17,7 +17,7 @@
 // # Usage
 //
 //	s := group.NewState("az1-0")
-//	s.Watch = queue // notified of every task change
+//	s.Observer = queue // notified of every task change
 //	s.Apply(offset, data)
 //	batch := group.Batch{Epoch: s.Epoch, Seq: s.Seq + 1, Records: records}
 package group
@@ -32,8 +32,8 @@
 // StreamOf returns the log stream of a group.
 func StreamOf(group string) string { return "group." + group }
 
-// Holder is the owner of a group during one epoch.
-type Holder struct {
+// Owner is the owner of a group during one epoch.
+type Owner struct {
 	Host string // id of the entry host; empty after a release
 	Addr string // peer address of the entry host
 }
@@ -41,9 +41,9 @@
 // Batch is one entry of the stream. A batch with Claim starts a new epoch.
 type Batch struct {
 	Epoch   uint64
-	Seq     uint64  // sequence number within the epoch, from 1; not used in a claim
-	Claim   *Holder // the new owner; nil if the batch is not a claim
-	Release bool    // the owner gives up ownership; this is the last batch of its epoch
+	Seq     uint64 // sequence number within the epoch, from 1; not used in a claim
+	Claim   *Owner // the new owner; nil if the batch is not a claim
+	Release bool   // the owner gives up ownership; this is the last batch of its epoch
 	Records []Record
 }
 
@@ -54,7 +54,7 @@
 	End    *jobs.End
 	Cancel *Cancel
 	Settle *Settle
-	Forget *Forget
+	Purge  *Purge
 	Call   *Call
 }
 
@@ -66,10 +66,10 @@
 
 // Start records the intent to run the next attempt of a task.
 type Start struct {
-	Ref     jobs.Ref
-	Attempt int // must be the task's latest attempt plus 1
-	Site    jobs.Site
-	AtMs    int64
+	Ref       jobs.Ref
+	Attempt   int // must be the task's latest attempt plus 1
+	Placement jobs.Placement
+	AtMs      int64
 }
 
 // Cancel requests the cancellation of a job.
@@ -85,15 +85,15 @@
 	AtMs   int64
 }
 
-// Forget deletes the jobs that ended and the calls that were recorded before the
+// Purge deletes the jobs that ended and the calls that were recorded before the
 // given time.
-type Forget struct {
+type Purge struct {
 	BeforeMs int64
 }
 
-// SubKey returns the key in the maps of State of the submission or call with the
+// RequestKey returns the key in the maps of State of the submission or call with the
 // given idempotency key.
-func SubKey(team, id string) string { return team + "\x00" + id }
+func RequestKey(team, id string) string { return team + "\x00" + id }
 
 // Observer is notified of every task change while the state applies it.
 type Observer interface {
@@ -104,18 +104,18 @@
 
 // State is a group's durable state. It is not safe for concurrent use.
 type State struct {
-	Name  string
-	Watch Observer // may be nil
-
-	Epoch   uint64
-	Seq     uint64 // sequence number of the latest batch of the epoch
-	LastSeq uint64 // sequence number of the last batch of the previous epoch
-	Owner   Holder
-	NextJob int64 // number of the latest job; the next one gets NextJob+1
-	Jobs    map[jobs.ID]*jobs.Job
-	Subs    map[string]jobs.ID   // SubKey -> job
-	Used    map[string]jobs.Size // team -> total size of its placed tasks
-	Calls   map[string]Call      // SubKey -> call
+	Name     string
+	Observer Observer // may be nil
+
+	Epoch        uint64
+	Seq          uint64 // sequence number of the latest batch of the epoch
+	PrevEpochSeq uint64 // sequence number of the last batch of the previous epoch
+	Owner        Owner
+	LastJob      int64 // number of the latest job; the next one gets LastJob+1
+	Jobs         map[jobs.ID]*jobs.Job
+	Submissions  map[string]jobs.ID   // RequestKey -> job
+	Used         map[string]jobs.Size // team -> total size of its placed tasks
+	Calls        map[string]Call      // RequestKey -> call
 }
 
 // NewState returns the empty state of a group.
@@ -127,7 +127,7 @@
 
 func (s *State) reset() {
 	s.Jobs = map[jobs.ID]*jobs.Job{}
-	s.Subs = map[string]jobs.ID{}
+	s.Submissions = map[string]jobs.ID{}
 	s.Used = map[string]jobs.Size{}
 	s.Calls = map[string]Call{}
 }
@@ -155,7 +155,7 @@
 		s.applyRecord(r)
 	}
 	if b.Release {
-		s.Owner = Holder{}
+		s.Owner = Owner{}
 	}
 	return true
 }
@@ -164,20 +164,20 @@
 	if b.Epoch != s.Epoch+1 {
 		return false
 	}
-	s.Epoch, s.Seq, s.LastSeq, s.Owner = b.Epoch, 0, s.Seq, *b.Claim
+	s.Epoch, s.Seq, s.PrevEpochSeq, s.Owner = b.Epoch, 0, s.Seq, *b.Claim
 	return true
 }
 
-// Verdict reports whether the batch with the given epoch and sequence number has
+// BatchStatus reports whether the batch with the given epoch and sequence number has
 // been applied, and whether this answer is final. It is not final while the batch
 // may still arrive. Both results are false if the answer is not known: after two or
 // more later claims, and for an epoch that has not begun.
-func (s *State) Verdict(epoch, seq uint64) (applied, final bool) {
+func (s *State) BatchStatus(epoch, seq uint64) (applied, final bool) {
 	switch {
 	case epoch == s.Epoch:
 		return seq <= s.Seq, seq <= s.Seq || s.Owner.Host == ""
 	case epoch+1 == s.Epoch:
-		return seq <= s.LastSeq, true
+		return seq <= s.PrevEpochSeq, true
 	}
 	return false, false
 }
@@ -196,25 +196,25 @@
 	case r.Settle != nil:
 		c := *r.Settle
 		s.updateTask(c.Ref, c.AtMs, func(_ *jobs.Job, t jobs.Task) jobs.Task { return t.WithSettled(c.Action, c.AtMs) })
-	case r.Forget != nil:
-		s.applyForget(*r.Forget)
+	case r.Purge != nil:
+		s.applyPurge(*r.Purge)
 	case r.Call != nil:
 		s.applyCall(*r.Call)
 	}
 }
 
 func (s *State) applySubmit(r Submit) {
-	key := SubKey(r.Spec.Team, r.Spec.Submission)
-	if _, seen := s.Subs[key]; seen {
+	key := RequestKey(r.Spec.Team, r.Spec.Submission)
+	if _, seen := s.Submissions[key]; seen {
 		return
 	}
-	s.NextJob++
-	j := &jobs.Job{ID: jobs.NewID(s.Name, s.NextJob), Spec: r.Spec, SubmitMs: r.AtMs}
+	s.LastJob++
+	j := &jobs.Job{ID: jobs.NewID(s.Name, s.LastJob), Spec: r.Spec, SubmitMs: r.AtMs}
 	for range r.Spec.Tasks {
 		j.Tasks = append(j.Tasks, jobs.Task{State: jobs.Waiting})
 	}
 	s.Jobs[j.ID] = j
-	s.Subs[key] = j.ID
+	s.Submissions[key] = j.ID
 	for i := range j.Tasks {
 		s.notify(j, i, jobs.Task{})
 	}
@@ -229,7 +229,7 @@
 		if t.State != jobs.Waiting || t.Attempt+1 != r.Attempt {
 			return t
 		}
-		return t.WithStart(r.Site, r.AtMs)
+		return t.WithStart(r.Placement, r.AtMs)
 	})
 }
 
@@ -282,16 +282,16 @@
 }
 
 func (s *State) notify(j *jobs.Job, index int, before jobs.Task) {
-	if s.Watch != nil {
-		s.Watch.TaskChanged(j, index, before)
+	if s.Observer != nil {
+		s.Observer.TaskChanged(j, index, before)
 	}
 }
 
-func (s *State) applyForget(f Forget) {
+func (s *State) applyPurge(f Purge) {
 	for id, j := range s.Jobs {
 		if j.EndMs > 0 && j.EndMs < f.BeforeMs && j.Ended() {
 			delete(s.Jobs, id)
-			delete(s.Subs, SubKey(j.Spec.Team, j.Spec.Submission))
+			delete(s.Submissions, RequestKey(j.Spec.Team, j.Spec.Submission))
 		}
 	}
 	for key, c := range s.Calls {
@@ -310,8 +310,8 @@
 	return j.WithTasks(j.Tasks), true
 }
 
-// Sorted returns the jobs in the order of their submission time.
-func (s *State) Sorted() []*jobs.Job {
+// JobsBySubmission returns the jobs in the order of their submission time.
+func (s *State) JobsBySubmission() []*jobs.Job {
 	list := make([]*jobs.Job, 0, len(s.Jobs))
 	for _, j := range s.Jobs {
 		list = append(list, j)
@@ -327,19 +327,19 @@
 
 // snapshot is the encoded form of a State.
 type snapshot struct {
-	Epoch   uint64
-	Seq     uint64
-	LastSeq uint64
-	Owner   Holder
-	NextJob int64
-	Jobs    []*jobs.Job
-	Calls   map[string]Call
+	Epoch        uint64
+	Seq          uint64
+	PrevEpochSeq uint64
+	Owner        Owner
+	LastJob      int64
+	Jobs         []*jobs.Job
+	Calls        map[string]Call
 }
 
 // Snapshot returns the encoded state.
 func (s *State) Snapshot() ([]byte, error) {
 	return frame.Encode(snapshot{
-		Epoch: s.Epoch, Seq: s.Seq, LastSeq: s.LastSeq, Owner: s.Owner, NextJob: s.NextJob, Jobs: s.Sorted(), Calls: s.Calls,
+		Epoch: s.Epoch, Seq: s.Seq, PrevEpochSeq: s.PrevEpochSeq, Owner: s.Owner, LastJob: s.LastJob, Jobs: s.JobsBySubmission(), Calls: s.Calls,
 	})
 }
 
@@ -351,13 +351,13 @@
 		return err
 	}
 	s.reset()
-	s.Epoch, s.Seq, s.LastSeq, s.Owner, s.NextJob = snap.Epoch, snap.Seq, snap.LastSeq, snap.Owner, snap.NextJob
+	s.Epoch, s.Seq, s.PrevEpochSeq, s.Owner, s.LastJob = snap.Epoch, snap.Seq, snap.PrevEpochSeq, snap.Owner, snap.LastJob
 	if snap.Calls != nil {
 		s.Calls = snap.Calls
 	}
 	for _, j := range snap.Jobs {
 		s.Jobs[j.ID] = j
-		s.Subs[SubKey(j.Spec.Team, j.Spec.Submission)] = j.ID
+		s.Submissions[RequestKey(j.Spec.Team, j.Spec.Submission)] = j.ID
 		for i, t := range j.Tasks {
 			// With Waiting as the previous state, only the usage of a placed task
 			// is added.
--- a/internal/cell/group/group_test.go
+++ b/internal/cell/group/group_test.go
@@ -55,7 +55,7 @@
 				}
 			case r.End != nil:
 				h := tasks[r.End.Ref]
-				if h.running && h.starts == r.End.Attempt && r.End.How == jobs.EndAbsent {
+				if h.running && h.starts == r.End.Attempt && r.End.Reason == jobs.EndNeverStarted {
 					h.running = false
 					tasks[r.End.Ref] = h
 				}
@@ -77,7 +77,7 @@
 		case 1:
 			list = append(list, Record{Start: &Start{Ref: ref, Attempt: attempt}})
 		case 2:
-			list = append(list, Record{End: &jobs.End{Ref: ref, Attempt: attempt, How: jobs.EndAbsent}})
+			list = append(list, Record{End: &jobs.End{Ref: ref, Attempt: attempt, Reason: jobs.EndNeverStarted}})
 		}
 	}
 	return list
@@ -88,7 +88,7 @@
 func drawBatch(t *rapid.T, s *State) Batch {
 	epoch := s.Epoch + uint64(rapid.IntRange(0, 2).Draw(t, "ahead"))
 	if rapid.IntRange(0, 4).Draw(t, "claim") == 0 {
-		return Batch{Epoch: epoch, Claim: &Holder{Host: rapid.SampledFrom([]string{"e0", "e1"}).Draw(t, "host")}}
+		return Batch{Epoch: epoch, Claim: &Owner{Host: rapid.SampledFrom([]string{"e0", "e1"}).Draw(t, "host")}}
 	}
 	if rapid.Bool().Draw(t, "stale") {
 		epoch = rapid.Uint64Range(0, s.Epoch+1).Draw(t, "epoch")
@@ -114,7 +114,7 @@
 			}
 		}
 		tasks, subs := histories(valid(all))
-		assert.Equal(t, len(s.Subs), len(subs))
+		assert.Equal(t, len(s.Submissions), len(subs))
 		var used int64
 		for ref, h := range tasks {
 			got := s.Jobs[ref.Job].Tasks[0]
@@ -136,10 +136,10 @@
 	return n
 }
 
-// TestVerdict checks that a batch for which Verdict gives the final answer "not
+// TestBatchStatus checks that a batch for which BatchStatus gives the final answer "not
 // applied" has not been applied and can no longer be applied. It does not verify
 // the answer "applied": that assertion holds for every state.
-func TestVerdict(t *testing.T) {
+func TestBatchStatus(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := NewState("g")
 		var mine Batch
@@ -157,7 +157,7 @@
 			if b.Epoch == mine.Epoch && b.Seq == mine.Seq && b.Claim == nil {
 				applied = applied || ok
 			}
-			got, final := s.Verdict(mine.Epoch, mine.Seq)
+			got, final := s.BatchStatus(mine.Epoch, mine.Seq)
 			if final && got {
 				assert.Assert(t, mine.Seq == 0 || applied || mine.Epoch < s.Epoch || mine.Seq <= s.Seq)
 			}
@@ -174,7 +174,7 @@
 // the outcome NotRun removes a call.
 func TestCalls(t *testing.T) {
 	s := NewState("g")
-	assert.Assert(t, s.ApplyBatch(Batch{Epoch: 1, Claim: &Holder{Host: "e0"}}))
+	assert.Assert(t, s.ApplyBatch(Batch{Epoch: 1, Claim: &Owner{Host: "e0"}}))
 	seq := uint64(0)
 	put := func(c Call) {
 		seq++
@@ -182,7 +182,7 @@
 	}
 	c := Call{Team: "a", ID: "x", Epoch: 1}
 	put(c)
-	assert.Equal(t, s.Calls[c.Key()].Ran, fault.Outcome(""))
+	assert.Equal(t, s.Calls[c.Key()].Outcome, fault.Outcome(""))
 	put(c.WithOutcome(fault.Done, 200, []byte("7")))
 	put(c.WithOutcome(fault.NotRun, 0, nil))
 	put(c.WithOutcome(fault.Unknown, 0, nil))
--- a/internal/cell/jobs/jobs.go
+++ b/internal/cell/jobs/jobs.go
@@ -15,8 +15,8 @@
 //
 //	spec := jobs.Spec{Name: "survey", Kind: jobs.Batch, Tasks: 1, Size: size}
 //	if err := spec.Check(); err != nil { ... }
-//	t := jobs.Task{State: jobs.Waiting}.WithStart(site, nowMs)
-//	t = t.WithEnd(spec, jobs.End{Attempt: 1, How: jobs.EndOK})
+//	t := jobs.Task{State: jobs.Waiting}.WithStart(placement, nowMs)
+//	t = t.WithEnd(spec, jobs.End{Attempt: 1, Reason: jobs.EndOK})
 package jobs
 
 import (
@@ -82,7 +82,7 @@
 	job, index, ok := strings.Cut(s, "/")
 	n, err := strconv.Atoi(index)
 	if !ok || err != nil || n < 0 {
-		return Ref{}, fault.Field("task", s, "must have the form JOB/INDEX")
+		return Ref{}, fault.InvalidField("task", s, "must have the form JOB/INDEX")
 	}
 	return Ref{Job: ID(job), Index: n}, nil
 }
@@ -154,16 +154,16 @@
 		return err
 	}
 	if s.Kind.Rank() == len(Kinds) {
-		return fault.Field("kind", s.Kind, "must be one of %v", Kinds)
+		return fault.InvalidField("kind", s.Kind, "must be one of %v", Kinds)
 	}
 	if err := CheckName("queue", s.Queue); err != nil {
 		return err
 	}
 	if len(s.Submission) > MaxNameBytes {
-		return fault.Field("submission", s.Submission, "must have at most %d bytes", MaxNameBytes)
+		return fault.InvalidField("submission", s.Submission, "must have at most %d bytes", MaxNameBytes)
 	}
 	if len(s.Payload) > MaxPayloadBytes {
-		return fault.Field("payload", len(s.Payload), "must have at most %d bytes", MaxPayloadBytes)
+		return fault.InvalidField("payload", len(s.Payload), "must have at most %d bytes", MaxPayloadBytes)
 	}
 	return s.checkNumbers()
 }
@@ -183,14 +183,14 @@
 	}
 	for _, c := range checks {
 		if c.v < c.min || c.v > c.max {
-			return fault.Field(c.field, c.v, "must lie between %d and %d", c.min, c.max)
+			return fault.InvalidField(c.field, c.v, "must lie between %d and %d", c.min, c.max)
 		}
 	}
 	if s.Kind != Service && s.RunMs == 0 {
-		return fault.Field("runMs", s.RunMs, "must be at least 1 for kind %q", s.Kind)
+		return fault.InvalidField("runMs", s.RunMs, "must be at least 1 for kind %q", s.Kind)
 	}
 	if s.Kind == Service && !s.Idempotent {
-		return fault.Field("idempotent", s.Idempotent, "must be true for kind %q, which is restarted", s.Kind)
+		return fault.InvalidField("idempotent", s.Idempotent, "must be true for kind %q, which is restarted", s.Kind)
 	}
 	return nil
 }
@@ -199,10 +199,10 @@
 // and characters of "-_.".
 func CheckName(field, v string) error {
 	if v == "" || len(v) > MaxNameBytes {
-		return fault.Field(field, v, "must have 1 to %d bytes", MaxNameBytes)
+		return fault.InvalidField(field, v, "must have 1 to %d bytes", MaxNameBytes)
 	}
 	if strings.Trim(v, nameChars) != "" {
-		return fault.Field(field, v, "must consist of letters, digits, '-', '_' and '.'")
+		return fault.InvalidField(field, v, "must consist of letters, digits, '-', '_' and '.'")
 	}
 	return nil
 }
--- a/internal/cell/jobs/size.go
+++ b/internal/cell/jobs/size.go
@@ -51,27 +51,27 @@
 	return int64(q)
 }
 
-// Least returns the smaller of s and o in each dimension.
-func (s Size) Least(o Size) Size {
+// Min returns the smaller of s and o in each dimension.
+func (s Size) Min(o Size) Size {
 	return Size{CPU: min(s.CPU, o.CPU), Mem: min(s.Mem, o.Mem), Accel: min(s.Accel, o.Accel)}
 }
 
-// Most returns the larger of s and o in each dimension.
-func (s Size) Most(o Size) Size {
+// Max returns the larger of s and o in each dimension.
+func (s Size) Max(o Size) Size {
 	return Size{CPU: max(s.CPU, o.CPU), Mem: max(s.Mem, o.Mem), Accel: max(s.Accel, o.Accel)}
 }
 
-// Fits reports whether s is at most o in every dimension.
-func (s Size) Fits(o Size) bool {
+// FitsIn reports whether s is at most o in every dimension.
+func (s Size) FitsIn(o Size) bool {
 	return s.CPU <= o.CPU && s.Mem <= o.Mem && s.Accel <= o.Accel
 }
 
 // IsZero reports whether every dimension is 0.
 func (s Size) IsZero() bool { return s.CPU == 0 && s.Mem == 0 && s.Accel == 0 }
 
-// Dominant returns the dominant share of s: the largest fraction of total that
+// DominantShare returns the dominant share of s: the largest fraction of total that
 // it takes in any dimension. Dimensions that are 0 in total are ignored.
-func (s Size) Dominant(total Size) float64 {
+func (s Size) DominantShare(total Size) float64 {
 	return max(fraction(s.CPU, total.CPU), fraction(s.Mem, total.Mem), fraction(s.Accel, total.Accel))
 }
 
--- a/internal/cell/jobs/task.go
+++ b/internal/cell/jobs/task.go
@@ -17,24 +17,24 @@
 // Final reports whether s is a final state.
 func (s State) Final() bool { return s == Done || s == Failed || s == Cancelled }
 
-// How tells how an attempt ended.
-type How string
+// EndReason tells how an attempt ended.
+type EndReason string
 
-// Values of How.
+// Values of EndReason.
 const (
-	EndOK           How = "ok"
-	EndFailed       How = "failed"       // the task itself failed
-	EndStopped      How = "stopped"      // interrupted; its progress is lost
-	EndCheckpointed How = "checkpointed" // interrupted after a checkpoint was saved
-	EndAbsent       How = "absent"       // it never started and never will
-	EndLost         How = "lost"         // it no longer runs; whether it finished is unknown
+	EndOK           EndReason = "ok"
+	EndFailed       EndReason = "failed"       // the task itself failed
+	EndStopped      EndReason = "stopped"      // interrupted; its progress is lost
+	EndCheckpointed EndReason = "checkpointed" // interrupted after a checkpoint was saved
+	EndNeverStarted EndReason = "absent"       // it never started and never will
+	EndLost         EndReason = "lost"         // it no longer runs; whether it finished is unknown
 )
 
 // End reports the end of one attempt.
 type End struct {
 	Ref        Ref
 	Attempt    int
-	How        How
+	Reason     EndReason
 	Result     string
 	Checkpoint string
 	AtMs       int64
@@ -57,23 +57,23 @@
 	Reason     string `json:"reason,omitempty"` // why the task was parked or failed, or what ended its parking
 }
 
-// Site identifies the worker selected for an attempt.
-type Site struct {
+// Placement identifies the worker selected for an attempt.
+type Placement struct {
 	Group  string // group of the worker
 	Worker string
 	Boot   int64 // the worker's boot id at the time of its selection
 }
 
 // WithStart returns the task after recording the intent to run its next attempt
-// on the site's worker.
-func (t Task) WithStart(site Site, nowMs int64) Task {
-	t.State, t.Group, t.Worker, t.Boot, t.StartMs = Placed, site.Group, site.Worker, site.Boot, nowMs
+// on the worker of p.
+func (t Task) WithStart(p Placement, nowMs int64) Task {
+	t.State, t.Group, t.Worker, t.Boot, t.StartMs = Placed, p.Group, p.Worker, p.Boot, nowMs
 	t.Attempt++
 	return t
 }
 
-// Site returns the worker selected for the latest attempt.
-func (t Task) Site() Site { return Site{Group: t.Group, Worker: t.Worker, Boot: t.Boot} }
+// Placement returns the worker selected for the latest attempt.
+func (t Task) Placement() Placement { return Placement{Group: t.Group, Worker: t.Worker, Boot: t.Boot} }
 
 // WithCancel returns the task after a cancellation request. A placed task stays
 // placed until its attempt has ended.
@@ -96,7 +96,7 @@
 		return t
 	}
 	t.EndMs = e.AtMs
-	switch e.How {
+	switch e.Reason {
 	case EndOK:
 		return t.afterOK(spec, e)
 	case EndFailed:
@@ -104,7 +104,7 @@
 	case EndCheckpointed:
 		t.Checkpoint = e.Checkpoint
 		return t.retryOrCancel()
-	case EndAbsent:
+	case EndNeverStarted:
 		return t.retryOrCancel()
 	case EndStopped:
 		return t.afterInterruption(spec, "was interrupted without a checkpoint")
--- a/internal/cell/queue/policy.go
+++ b/internal/cell/queue/policy.go
@@ -21,7 +21,7 @@
 const defaultMaxWaitMs = 10 * 60 * 1000
 
 // Less implements Policy.
-func (f Fair) Less(a, b Candidate, v *View) bool {
+func (f Fair) Less(a, b Candidate, v *FleetView) bool {
 	ra, rb := f.rank(a.Item, v.NowMs), f.rank(b.Item, v.NowMs)
 	if ra != rb {
 		return ra < rb
@@ -49,7 +49,7 @@
 	switch {
 	case it.Kind == jobs.Urgent:
 		return r
-	case nowMs-it.AtMs > limit:
+	case nowMs-it.WaitingSinceMs > limit:
 		return overdueRank
 	}
 	return r + overdueRank // after overdueRank, because r is at least 1
@@ -57,15 +57,15 @@
 
 // weightedShare returns the team's dominant share of the fleet divided by its
 // weight.
-func weightedShare(c Candidate, v *View) float64 {
-	weight := max(v.Share[c.Item.Team], 1)
-	return c.Used.Dominant(v.Fleet) / float64(weight)
+func weightedShare(c Candidate, v *FleetView) float64 {
+	weight := max(v.Weights[c.Item.Team], 1)
+	return c.Used.DominantShare(v.Fleet) / float64(weight)
 }
 
 // older reports whether a was added before b. Ties are broken by the ref.
 func older(a, b Item) bool {
-	if a.AtMs != b.AtMs {
-		return a.AtMs < b.AtMs
+	if a.WaitingSinceMs != b.WaitingSinceMs {
+		return a.WaitingSinceMs < b.WaitingSinceMs
 	}
 	if a.Ref.Job != b.Ref.Job {
 		return a.Ref.Job < b.Ref.Job
@@ -80,4 +80,4 @@
 var _ Policy = FIFO{}
 
 // Less implements Policy.
-func (FIFO) Less(a, b Candidate, _ *View) bool { return older(a.Item, b.Item) }
+func (FIFO) Less(a, b Candidate, _ *FleetView) bool { return older(a.Item, b.Item) }
--- a/internal/cell/queue/queue.go
+++ b/internal/cell/queue/queue.go
@@ -12,7 +12,7 @@
 // # Usage
 //
 //	q := queue.New(queue.Config{Policy: queue.Fair{}})
-//	q.Add(queue.Item{Ref: ref, Team: "lab", Kind: jobs.Batch, Size: size, Count: 1, AtMs: now})
+//	q.Add(queue.Item{Ref: ref, Team: "lab", Kind: jobs.Batch, Size: size, Count: 1, WaitingSinceMs: now})
 //	p := q.Pass(view)
 //	for item, ok := p.Next(); ok; item, ok = p.Next() {
 //		p.Placed(item) // or p.Blocked(item)
@@ -27,13 +27,13 @@
 
 // Item is a unit of work that is placed as a whole.
 type Item struct {
-	Ref   jobs.Ref // the first task
-	Team  string
-	Kind  jobs.Kind
-	Size  jobs.Size // of each task
-	Count int       // number of tasks; more than 1 for a gang
-	Az    string    // requested availability zone; empty for any
-	AtMs  int64     // start of the waiting time
+	Ref            jobs.Ref // the first task
+	Team           string
+	Kind           jobs.Kind
+	Size           jobs.Size // of each task
+	Count          int       // number of tasks; more than 1 for a gang
+	Az             string    // requested availability zone; empty for any
+	WaitingSinceMs int64     // start of the waiting time
 
 	seq uint64 // distinguishes the item from a removed one with the same ref
 }
@@ -63,19 +63,19 @@
 	live  int // number of items that have not been removed
 }
 
-// View is the state of the whole fleet that a policy uses.
-type View struct {
-	NowMs int64
-	Fleet jobs.Size            // total capacity of the availability zones in service
-	Used  map[string]jobs.Size // team -> size of its running work in the whole fleet
-	Share map[string]int64     // team -> weight
+// FleetView is the state of the whole fleet that a policy uses.
+type FleetView struct {
+	NowMs   int64
+	Fleet   jobs.Size            // total capacity of the availability zones in service
+	Used    map[string]jobs.Size // team -> size of its running work in the whole fleet
+	Weights map[string]int64     // team -> weight
 }
 
 // Policy orders the shapes with waiting items.
 type Policy interface {
 	// Less reports whether a goes before b. It must be a strict weak ordering
 	// for a fixed view and usage.
-	Less(a, b Candidate, v *View) bool
+	Less(a, b Candidate, v *FleetView) bool
 }
 
 // Preemptor is implemented by policies that allow preemption: running work is
@@ -207,13 +207,13 @@
 // its shape are waiting at that time.
 type Pass struct {
 	q           *Queue
-	view        *View
+	view        *FleetView
 	used        map[string]jobs.Size // team -> size placed by this pass, in addition to view.Used
 	shapeQueues []*shapeQueue        // shapes that are not blocked or empty
 }
 
 // Pass starts a pass over the queue.
-func (q *Queue) Pass(v View) *Pass {
+func (q *Queue) Pass(v FleetView) *Pass {
 	p := &Pass{q: q, view: &v, used: map[string]jobs.Size{}}
 	for _, sq := range q.shapeQueues {
 		p.shapeQueues = append(p.shapeQueues, sq)
--- a/internal/cell/queue/queue_test.go
+++ b/internal/cell/queue/queue_test.go
@@ -13,7 +13,7 @@
 
 // referenceNext returns the item that the policy orders first among all items whose
 // shape is not blocked.
-func referenceNext(items map[jobs.Ref]Item, blocked map[shape]bool, used map[string]jobs.Size, p Policy, v *View) (best Item, ok bool) {
+func referenceNext(items map[jobs.Ref]Item, blocked map[shape]bool, used map[string]jobs.Size, p Policy, v *FleetView) (best Item, ok bool) {
 	for _, it := range items {
 		if blocked[it.shape()] {
 			continue
@@ -41,7 +41,7 @@
 	items := map[jobs.Ref]Item{}
 	for i := range rapid.IntRange(1, 40).Draw(t, "n") {
 		it := Item{
-			Ref: jobs.Ref{Job: jobs.NewID("g", int64(i+1))}, AtMs: int64(i), Count: 1,
+			Ref: jobs.Ref{Job: jobs.NewID("g", int64(i+1))}, WaitingSinceMs: int64(i), Count: 1,
 			Team: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "team"),
 			Kind: rapid.SampledFrom(jobs.Kinds).Draw(t, "kind"),
 			Size: jobs.Size{CPU: rapid.Int64Range(1, 3).Draw(t, "cpu")},
@@ -55,8 +55,8 @@
 		}
 	}
 	assert.Equal(t, q.Len(), len(items))
-	v := View{
-		NowMs: 80, Fleet: jobs.Size{CPU: 100}, Used: map[string]jobs.Size{"a": {CPU: 10}}, Share: map[string]int64{"a": 3, "b": 1},
+	v := FleetView{
+		NowMs: 80, Fleet: jobs.Size{CPU: 100}, Used: map[string]jobs.Size{"a": {CPU: 10}}, Weights: map[string]int64{"a": 3, "b": 1},
 	}
 	used := map[string]jobs.Size{"a": {CPU: 10}}
 	blocked := map[shape]bool{}
@@ -91,12 +91,12 @@
 
 // referenceShares finds by bisection the share per weight at which the teams use up
 // the fleet.
-func referenceShares(claims []Claim) map[string]float64 {
+func referenceShares(demands []TeamDemand) map[string]float64 {
 	low, high := 0.0, 1e6
 	fill := func(level float64) (map[string]float64, float64) {
 		shares, sum := map[string]float64{}, 0.0
-		for _, c := range claims {
-			s := min(c.Wants, level*float64(max(c.Weight, 1)))
+		for _, c := range demands {
+			s := min(c.Demand, level*float64(max(c.Weight, 1)))
 			shares[c.Team] = s
 			sum += s
 		}
@@ -117,15 +117,15 @@
 // TestFairShares compares FairShares with referenceShares.
 func TestFairShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var claims []Claim
+		var demands []TeamDemand
 		for i := range rapid.IntRange(1, 6).Draw(t, "teams") {
-			claims = append(claims, Claim{
+			demands = append(demands, TeamDemand{
 				Team: fmt.Sprint(i), Weight: rapid.Int64Range(0, 5).Draw(t, "weight"),
-				Wants: float64(rapid.IntRange(0, 200).Draw(t, "wants")) / 100,
+				Demand: float64(rapid.IntRange(0, 200).Draw(t, "wants")) / 100,
 			})
 		}
-		want := referenceShares(claims)
-		for team, got := range FairShares(claims) {
+		want := referenceShares(demands)
+		for team, got := range FairShares(demands) {
 			assert.Assert(t, math.Abs(got-want[team]) < 1e-6, "team %s gets %g, want %g", team, got, want[team])
 		}
 	})
@@ -135,10 +135,10 @@
 // goes before a newer service item, but not before an urgent one.
 func TestStarvation(t *testing.T) {
 	f := Fair{MaxWaitMs: 100}
-	v := &View{NowMs: 200, Fleet: jobs.Size{CPU: 1}}
-	old := Candidate{Item: Item{Kind: jobs.Batch, AtMs: 0}}
-	fresh := Candidate{Item: Item{Kind: jobs.Service, AtMs: 190}}
-	urgent := Candidate{Item: Item{Kind: jobs.Urgent, AtMs: 199}}
+	v := &FleetView{NowMs: 200, Fleet: jobs.Size{CPU: 1}}
+	old := Candidate{Item: Item{Kind: jobs.Batch, WaitingSinceMs: 0}}
+	fresh := Candidate{Item: Item{Kind: jobs.Service, WaitingSinceMs: 190}}
+	urgent := Candidate{Item: Item{Kind: jobs.Urgent, WaitingSinceMs: 199}}
 	assert.Assert(t, f.Less(old, fresh, v))
 	assert.Assert(t, f.Less(urgent, old, v))
 	v.NowMs = 100
@@ -151,7 +151,7 @@
 	for i := range n {
 		q.Add(Item{
 			Ref: jobs.Ref{Job: jobs.NewID("g", int64(i+1))}, Team: fmt.Sprint("t", i%94), Kind: jobs.Batch,
-			Size: jobs.Size{CPU: int64(1 + i%5)}, Count: 1, AtMs: int64(i),
+			Size: jobs.Size{CPU: int64(1 + i%5)}, Count: 1, WaitingSinceMs: int64(i),
 		})
 	}
 	return q
@@ -162,7 +162,7 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
 			q := filledQueue(n)
-			v := View{Fleet: jobs.Size{CPU: 1000}, Used: map[string]jobs.Size{}, Share: map[string]int64{}}
+			v := FleetView{Fleet: jobs.Size{CPU: 1000}, Used: map[string]jobs.Size{}, Weights: map[string]int64{}}
 			p := q.Pass(v)
 			b.ResetTimer()
 			for range b.N {
--- a/internal/cell/queue/share.go
+++ b/internal/cell/queue/share.go
@@ -6,11 +6,11 @@
 	"lagooncourse/internal/cell/jobs"
 )
 
-// Claim is the demand and weight of one team.
-type Claim struct {
+// TeamDemand is the demand and weight of one team.
+type TeamDemand struct {
 	Team   string
 	Weight int64
-	Wants  float64 // dominant share of the fleet that its running and waiting work needs
+	Demand float64 // dominant share of the fleet that its running and waiting work needs
 }
 
 // FairShares returns the weighted max-min fair share of each team as a fraction
@@ -20,8 +20,8 @@
 // The dominant resources of the teams may differ, so their dominant shares can
 // add up to more than 1. FairShares treats them as one resource, so a share may
 // be too small but not too large.
-func FairShares(claims []Claim) map[string]float64 {
-	order := append([]Claim(nil), claims...)
+func FairShares(demands []TeamDemand) map[string]float64 {
+	order := append([]TeamDemand(nil), demands...)
 	sort.Slice(order, func(i, j int) bool {
 		a, b := order[i].perWeight(), order[j].perWeight()
 		return a < b || a == b && order[i].Team < order[j].Team
@@ -34,7 +34,7 @@
 	left := 1.0
 	for _, c := range order {
 		w := max(c.Weight, 1)
-		share := min(c.Wants, left*float64(w)/float64(weightLeft))
+		share := min(c.Demand, left*float64(w)/float64(weightLeft))
 		shares[c.Team] = share
 		left -= share
 		weightLeft -= w
@@ -44,11 +44,11 @@
 
 // perWeight returns the wanted share divided by the weight. FairShares serves the
 // team with the lowest value first.
-func (c Claim) perWeight() float64 { return c.Wants / float64(max(c.Weight, 1)) }
+func (c TeamDemand) perWeight() float64 { return c.Demand / float64(max(c.Weight, 1)) }
 
 // Shares returns the fair share of every team with running or waiting work. The map
 // waiting contains the total size of each team's waiting work.
-func (v *View) Shares(waiting map[string]jobs.Size) map[string]float64 {
+func (v *FleetView) Shares(waiting map[string]jobs.Size) map[string]float64 {
 	teams := map[string]jobs.Size{}
 	for team, used := range v.Used {
 		teams[team] = used
@@ -56,9 +56,9 @@
 	for team, size := range waiting {
 		teams[team] = teams[team].Plus(size)
 	}
-	claims := make([]Claim, 0, len(teams))
+	demands := make([]TeamDemand, 0, len(teams))
 	for team, size := range teams {
-		claims = append(claims, Claim{Team: team, Weight: v.Share[team], Wants: size.Dominant(v.Fleet)})
+		demands = append(demands, TeamDemand{Team: team, Weight: v.Weights[team], Demand: size.DominantShare(v.Fleet)})
 	}
-	return FairShares(claims)
+	return FairShares(demands)
 }
--- a/internal/cell/sched/advice.go
+++ b/internal/cell/sched/advice.go
@@ -34,30 +34,30 @@
 	costlyMaxWorkers    = 32   // workers in one costly request
 )
 
-// Want is a request to the advice service about one step instance.
-type Want struct {
+// AdviceRequest is a request to the advice service about one step instance.
+type AdviceRequest struct {
 	StepKey stepKey
 	Step    string // JOB.OCC.STEP
 	Workers []string
 	CostMs  float64 // expected response time
-	Desk    string  // host that sends the request
+	Host    string  // host that sends the request
 }
 
-// Desks are the hosts that can send advice requests. The service takes one
+// AdviceHosts are the hosts that can send advice requests. The service takes one
 // request at a time from each host. While no host is free, steps wait in the
 // planner, so the next free host serves the first one in order.
-type Desks interface {
-	// Idle reports whether any host is free.
-	Idle() bool
-	// Take reserves a host for a request of the given cost. The host is released
+type AdviceHosts interface {
+	// Available reports whether any host is free.
+	Available() bool
+	// Reserve reserves a host for a request of the given cost. The host is released
 	// after the reply.
-	Take(costMs float64) (desk string, ok bool)
+	Reserve(costMs float64) (host string, ok bool)
 }
 
 // usable reports whether the worker may run tasks of the step, capacity aside.
 func (p *Planner) usable(w *Worker, si *stepInstance, now Instant) bool {
 	s := si.spec()
-	return w.Service == p.queue(si).Service && p.available(w, now) && (s.Needs == "" || w.hasLabel(s.Needs))
+	return w.Service == p.queue(si).Service && p.available(w, now) && (s.RequiredLabel == "" || w.hasLabel(s.RequiredLabel))
 }
 
 // ticket returns the ticket for a start on the worker. ok is false if a ticket is
@@ -67,7 +67,7 @@
 		return "", true
 	}
 	g := si.advice.answers[w.ID]
-	if !g.allowed || g.incarnation != w.Born || now.Ms > g.untilMs-ticketMarginMs {
+	if !g.allowed || g.incarnation != w.Incarnation || now.Ms > g.untilMs-ticketMarginMs {
 		return "", false
 	}
 	return g.ticket, true
@@ -160,10 +160,10 @@
 	return initialAllowedShare
 }
 
-// Advised handles the reply to a request; ok is false if the request failed.
+// ApplyAdvice handles the reply to a request; ok is false if the request failed.
 // Workers without a ticket are denied. The tickets expire ValidMs after issuedMs,
 // a monotonic time.
-func (p *Planner) Advised(w Want, tickets map[string]string, ok bool, issuedMs int64, now Instant) {
+func (p *Planner) ApplyAdvice(w AdviceRequest, tickets map[string]string, ok bool, issuedMs int64, now Instant) {
 	si := p.steps[w.StepKey]
 	if si == nil {
 		return
@@ -184,7 +184,7 @@
 			continue
 		}
 		t, allowed := tickets[id]
-		si.advice.answers[id] = adviceAnswer{allowed: allowed, ticket: t, untilMs: issuedMs + q.Advice.ValidMs, incarnation: wk.Born}
+		si.advice.answers[id] = adviceAnswer{allowed: allowed, ticket: t, untilMs: issuedMs + q.Advice.ValidMs, incarnation: wk.Incarnation}
 	}
 	si.advice.nextRequestMs = now.Ms
 	p.recordShare(q.Name, float64(len(tickets))/float64(max(len(w.Workers), 1)))
--- a/internal/cell/sched/batch.go
+++ b/internal/cell/sched/batch.go
@@ -25,15 +25,15 @@
 // up to 2 MB a call.
 const maxBatchBytes = 1 << 20
 
-// Dirty reports whether progress or accepted jobs have to be stored. It ignores
+// HasPending reports whether progress or accepted jobs have to be stored. It ignores
 // jobs whose retention has ended.
-func (p *Planner) Dirty() bool {
+func (p *Planner) HasPending() bool {
 	return len(p.dirty) > 0 || len(p.newSpecs) > 0
 }
 
-// TakeDirty returns a batch of the records that have to be stored: accepted jobs,
+// TakeBatch returns a batch of the records that have to be stored: accepted jobs,
 // then progress, then deletions of jobs whose retention has ended.
-func (p *Planner) TakeDirty(now Instant) (*Batch, error) {
+func (p *Planner) TakeBatch(now Instant) (*Batch, error) {
 	b := &Batch{verdicts: map[string]Verdict{}, endMarks: map[string]endMark{}}
 	size := 0
 	add := func(key string, value []byte, err error) error {
@@ -69,7 +69,7 @@
 		}
 		b.verdicts[id] = j.Progress.Verdict
 	}
-	for len(p.ended) > 0 && now.Ms-p.ended[0].atMs > p.cfg.KeepMs && size < maxBatchBytes {
+	for len(p.ended) > 0 && now.Ms-p.ended[0].atMs > p.cfg.RetentionMs && size < maxBatchBytes {
 		id := p.ended[0].id
 		p.ended = p.ended[1:]
 		for _, key := range DropKeys(id) {
@@ -81,7 +81,7 @@
 	}
 	for id, w := range p.workers {
 		if w.appliedSeq > w.storedSeq {
-			b.endMarks[id] = endMark{w.Born, w.appliedSeq}
+			b.endMarks[id] = endMark{w.Incarnation, w.appliedSeq}
 		}
 	}
 	b.Complete = true
@@ -97,15 +97,15 @@
 		p.storedVerdicts[id] = v
 	}
 	for id, m := range b.endMarks {
-		if w := p.workers[id]; w != nil && w.Born == m.incarnation {
+		if w := p.workers[id]; w != nil && w.Incarnation == m.incarnation {
 			w.storedSeq = max(w.storedSeq, m.seq)
 		}
 	}
 }
 
-// Seen returns the sequence number of the last stored end of a worker. The worker
+// StoredSeq returns the sequence number of the last stored end of a worker. The worker
 // may delete its ends up to that number.
-func (p *Planner) Seen(id string) int64 {
+func (p *Planner) StoredSeq(id string) int64 {
 	if w := p.workers[id]; w != nil {
 		return w.storedSeq
 	}
--- a/internal/cell/sched/late.go
+++ b/internal/cell/sched/explain.go
@@ -5,26 +5,26 @@
 	"sort"
 )
 
-// Late explains why a step instance is still waiting. The fields Unusable to
+// WaitReport explains why a step instance is still waiting. The fields Unusable to
 // NoTicket count the workers that are ruled out, by reason.
-type Late struct {
-	Step      string
-	WaitMs    int64
-	Idle      int  // waiting tasks
-	Unusable  int  // unregistered, unreachable, draining, quarantined, in a closed zone, of another pool or without the label
-	Unasked   int  // no advice about them
-	Denied    int  // denied by advice
-	NoRoom    int  // without free capacity
-	NoTicket  int  // allowed, but the ticket has expired
-	Slots     int  // tasks that could start now
-	OverLimit bool // the team's quota does not cover all waiting tasks
-	Asked     bool // an advice request has no reply yet
-	Kept      int  // workers reserved for this gang
+type WaitReport struct {
+	Step       string
+	WaitMs     int64
+	Idle       int  // waiting tasks
+	Unusable   int  // unregistered, unreachable, draining, quarantined, in a closed zone, of another pool or without the label
+	NoAdvice   int  // no advice about them
+	Denied     int  // denied by advice
+	NoCapacity int  // without free capacity
+	NoTicket   int  // allowed, but the ticket has expired
+	Slots      int  // tasks that could start now
+	OverLimit  bool // the team's quota does not cover all waiting tasks
+	Requested  bool // an advice request has no reply yet
+	Reserved   int  // workers reserved for this gang
 }
 
-// Late explains up to limit step instances that have been ready for longer than
-// minWaitMs, the oldest first.
-func (p *Planner) Late(minWaitMs int64, limit int, now Instant) []Late {
+// ExplainWaiting explains up to limit step instances that have been ready for
+// longer than minWaitMs, the oldest first.
+func (p *Planner) ExplainWaiting(minWaitMs int64, limit int, now Instant) []WaitReport {
 	var list []*stepInstance
 	for _, si := range p.waiting {
 		if now.Ms-si.readyMs > minWaitMs && p.occurrenceDue(si, now) {
@@ -32,7 +32,7 @@
 		}
 	}
 	sort.Slice(list, func(a, b int) bool { return list[a].readyMs < list[b].readyMs })
-	var out []Late
+	var out []WaitReport
 	for _, si := range list[:min(limit, len(list))] {
 		out = append(out, p.explain(si, now))
 	}
@@ -41,14 +41,14 @@
 
 // explain counts, for a step instance, the workers by the reason that rules them
 // out.
-func (p *Planner) explain(si *stepInstance, now Instant) Late {
+func (p *Planner) explain(si *stepInstance, now Instant) WaitReport {
 	_, waiting := countTasks(si.tasks())
-	e := Late{Step: si.stepName(), WaitMs: now.Ms - si.readyMs, Idle: waiting, Asked: si.advice.openRequests > 0}
+	e := WaitReport{Step: si.stepName(), WaitMs: now.Ms - si.readyMs, Idle: waiting, Requested: si.advice.openRequests > 0}
 	e.OverLimit = len(p.withinLimit(si, make([]int, waiting))) < waiting
 	needsAdvice := p.queue(si).Advice != nil
 	for id, w := range p.workers {
 		if w.reservedFor(si.key(), now) {
-			e.Kept++
+			e.Reserved++
 		}
 		g, advised := si.advice.answers[id]
 		n := p.slotsFor(si, w, waiting, now)
@@ -57,11 +57,11 @@
 		case !p.usable(w, si, now):
 			e.Unusable++
 		case needsAdvice && !advised:
-			e.Unasked++
+			e.NoAdvice++
 		case needsAdvice && !g.allowed:
 			e.Denied++
 		case n == 0:
-			e.NoRoom++
+			e.NoCapacity++
 		case !ticket:
 			e.NoTicket++
 		default:
@@ -83,7 +83,7 @@
 		for step := range j.Spec.Steps {
 			for i, t := range j.stepTasks(occ, step) {
 				ref := Ref{id, occ, step, i}
-				out += fmt.Sprintf("\n%s state %d run %d fails %d worker %q", ref, t.State, t.Run, t.Failures, t.Worker)
+				out += fmt.Sprintf("\n%s state %d run %d fails %d worker %q", ref, t.State, t.LastRun, t.Failures, t.Worker)
 				if w := p.workers[t.Worker]; w != nil && w.allocations[ref] != nil {
 					a := w.allocations[ref]
 					out += fmt.Sprintf(" allocated run %d phase %d stopping %v", a.run, a.phase, a.stopping)
--- a/internal/cell/sched/index.go
+++ b/internal/cell/sched/index.go
@@ -58,7 +58,7 @@
 
 // available reports whether a worker can take starts of any task, capacity aside.
 func (p *Planner) available(w *Worker, now Instant) bool {
-	return w.registered && w.listed && w.reachable && !w.Draining && now.Ms >= w.backoffUntilMs && !p.view.Closed[w.Az] &&
+	return w.registered && w.listed && w.reachable && !w.Draining && now.Ms >= w.backoffUntilMs && !p.policy.ClosedAzs[w.Az] &&
 		p.trust.State(w.ID, now.Ms) != trust.Quarantined
 }
 
@@ -66,7 +66,7 @@
 // that the step needs and is not reserved for another step instance.
 func (p *Planner) suits(w *Worker, si *stepInstance, now Instant) bool {
 	s := si.spec()
-	return (s.Needs == "" || w.hasLabel(s.Needs)) && !w.reservedForOther(si, p.queue(si).Priority, now)
+	return (s.RequiredLabel == "" || w.hasLabel(s.RequiredLabel)) && !w.reservedForOther(si, p.queue(si).Priority, now)
 }
 
 // lacksCPU reports whether a worker, and so all workers after it in the index,
--- a/internal/cell/sched/load_test.go
+++ b/internal/cell/sched/load_test.go
@@ -13,20 +13,20 @@
 // noHosts has no free host for advice requests.
 type noHosts struct{}
 
-func (noHosts) Idle() bool                  { return false }
-func (noHosts) Take(float64) (string, bool) { return "", false }
+func (noHosts) Available() bool                { return false }
+func (noHosts) Reserve(float64) (string, bool) { return "", false }
 
 // fleet returns a planner with n reachable workers of 32 cores.
 func fleet(n int, now Instant) *Planner {
-	p := NewPlanner(Config{State: NewState(), LeaseMs: 8_000, KeepMs: 60_000}, now)
-	p.SetView(View{Queues: map[string]Queue{
-		"urgent": {Name: "urgent", Service: "s", Attempts: 3, Slack: 2, TargetMs: 250},
-		"wide":   {Name: "wide", Service: "s", Priority: 1, Attempts: 3, Slack: 2, TargetMs: 1000},
+	p := NewPlanner(Config{State: NewState(), LeaseMs: 8_000, RetentionMs: 60_000}, now)
+	p.SetPolicy(Policy{Queues: map[string]Queue{
+		"urgent": {Name: "urgent", Service: "s", MaxAttempts: 3, Slack: 2, TargetMs: 250},
+		"wide":   {Name: "wide", Service: "s", Priority: 1, MaxAttempts: 3, Slack: 2, TargetMs: 1000},
 	}})
 	for i := range n {
 		id := fmt.Sprintf("w%04d", i)
-		p.SetWorker(WorkerInfo{ID: id, Addr: id, Service: "s", Capacity: jobs.Size{CPU: 32_000, Mem: 64_000}, Born: 1}, now)
-		p.Listed(id, Lists{SentMs: now.Ms, Born: 1}, now)
+		p.SetWorker(WorkerInfo{ID: id, Addr: id, Service: "s", Capacity: jobs.Size{CPU: 32_000, Mem: 64_000}, Incarnation: 1}, now)
+		p.ApplyReport(id, WorkerReport{SentMs: now.Ms, Incarnation: 1}, now)
 	}
 	return p
 }
@@ -35,16 +35,16 @@
 // nowhere: if more of them than one plan tries come first in the order, the
 // steps that do fit must still start.
 func TestNoStarvation(t *testing.T) {
-	now := Instant{Ms: 1000, Wall: 1000}
+	now := Instant{Ms: 1000, WallMs: 1000}
 	p := fleet(2, now)
 	for i := range 2 * maxPlanSteps {
-		spec := Spec{ID: fmt.Sprintf("a%04d", i), Queue: "urgent", AtMs: now.Wall, Steps: []Step{{Count: 1, Size: jobs.Size{CPU: 33_000}, EstimateMs: 100}}}
+		spec := Spec{ID: fmt.Sprintf("a%04d", i), Queue: "urgent", AcceptedMs: now.WallMs, Steps: []Step{{Count: 1, Size: jobs.Size{CPU: 33_000}, EstimateMs: 100}}}
 		p.Accept(spec, now)
 	}
-	p.Accept(Spec{ID: "b", Queue: "wide", AtMs: now.Wall, Steps: []Step{{Count: 1, Size: jobs.Size{CPU: 1_000}, EstimateMs: 100}}}, now)
+	p.Accept(Spec{ID: "b", Queue: "wide", AcceptedMs: now.WallMs, Steps: []Step{{Count: 1, Size: jobs.Size{CPU: 1_000}, EstimateMs: 100}}}, now)
 	var starts []Start
 	for range 4 {
-		now.Ms, now.Wall = now.Ms+2, now.Wall+2
+		now.Ms, now.WallMs = now.Ms+2, now.WallMs+2
 		starts = append(starts, p.Plan(noHosts{}, now).Starts...)
 	}
 	assert.Equal(t, len(starts), 1)
@@ -54,7 +54,7 @@
 // TestUrgentUnderLoad simulates twice the load that the fleet can run, half of it
 // urgent. At least 90% of the urgent jobs must meet their deadline.
 func TestUrgentUnderLoad(t *testing.T) {
-	now := Instant{Ms: 1000, Wall: 1000}
+	now := Instant{Ms: 1000, WallMs: 1000}
 	p := fleet(4, now)
 	type run struct {
 		start Start
@@ -65,10 +65,10 @@
 	lastEnd := map[string]int64{}
 	const stepMs, seconds = 5, 20
 	for tick := range seconds * 1000 / stepMs {
-		now.Ms, now.Wall = now.Ms+stepMs, now.Wall+stepMs
+		now.Ms, now.WallMs = now.Ms+stepMs, now.WallMs+stepMs
 		if tick%20 == 0 { // 10 jobs a second in each queue
 			for _, q := range []string{"urgent", "wide"} {
-				spec := Spec{ID: fmt.Sprintf("%s%05d", q, tick), Queue: q, AtMs: now.Wall, Steps: []Step{{Count: 2, Size: jobs.Size{CPU: 8_000}, EstimateMs: 800}}}
+				spec := Spec{ID: fmt.Sprintf("%s%05d", q, tick), Queue: q, AcceptedMs: now.WallMs, Steps: []Step{{Count: 2, Size: jobs.Size{CPU: 8_000}, EstimateMs: 800}}}
 				p.Accept(spec, now)
 			}
 		}
@@ -79,27 +79,27 @@
 				continue
 			}
 			lastEnd[r.start.Worker]++
-			p.Listed(r.start.Worker, Lists{SentMs: 0, Born: 1, Finished: []Finished{{N: lastEnd[r.start.Worker], Task: r.start.Ref.String(), Run: r.start.Run, How: EndDone}}}, now)
-			ends[r.start.Ref.Job] = now.Wall
+			p.ApplyReport(r.start.Worker, WorkerReport{SentMs: 0, Incarnation: 1, Finished: []Finished{{Seq: lastEnd[r.start.Worker], Task: r.start.Ref.String(), Run: r.start.Run, Reason: EndDone}}}, now)
+			ends[r.start.Ref.Job] = now.WallMs
 		}
 		running = unfinished
 		plan := p.Plan(noHosts{}, now)
-		b, err := p.TakeDirty(now)
+		b, err := p.TakeBatch(now)
 		assert.NilError(t, err)
 		p.Stored(b)
-		for _, s := range p.Release(plan.Starts, now) {
-			p.Started(s, StartUp, now)
+		for _, s := range p.ReleaseStarts(plan.Starts, now) {
+			p.ApplyStartOutcome(s, StartConfirmed, now)
 			running = append(running, run{s, now.Ms + 800})
 		}
 	}
 	inTime, urgent := 0, 0
 	for id, j := range p.state.Jobs {
-		if j.Spec.Queue != "urgent" || now.Wall-j.Spec.AtMs < 2_000 {
+		if j.Spec.Queue != "urgent" || now.WallMs-j.Spec.AcceptedMs < 2_000 {
 			continue
 		}
 		urgent++
 		// The deadline is Slack * EstimateMs + TargetMs after the submission.
-		if end, ok := ends[id]; ok && end-j.Spec.AtMs <= 2*800+250 {
+		if end, ok := ends[id]; ok && end-j.Spec.AcceptedMs <= 2*800+250 {
 			inTime++
 		}
 	}
@@ -111,10 +111,10 @@
 func BenchmarkPlan(b *testing.B) {
 	for _, n := range []int{48, 350, 3200} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			now := Instant{Ms: 1000, Wall: 1000}
+			now := Instant{Ms: 1000, WallMs: 1000}
 			p := fleet(n, now)
 			for i := range b.N {
-				spec := Spec{ID: fmt.Sprintf("%08d", i), Queue: "urgent", AtMs: now.Wall, Steps: []Step{{Count: 1, Size: jobs.Size{CPU: 1000}, EstimateMs: 500}}}
+				spec := Spec{ID: fmt.Sprintf("%08d", i), Queue: "urgent", AcceptedMs: now.WallMs, Steps: []Step{{Count: 1, Size: jobs.Size{CPU: 1000}, EstimateMs: 500}}}
 				p.Accept(spec, now)
 				plan := p.Plan(noHosts{}, now)
 				for _, s := range plan.Starts {
@@ -130,18 +130,18 @@
 // only if all of them are in it or in an earlier one. Otherwise a job counts as
 // stored before its record is.
 func TestLargeBatch(t *testing.T) {
-	now := Instant{Ms: 1000, Wall: 1000}
-	p := NewPlanner(Config{State: NewState(), LeaseMs: 8_000, KeepMs: 60_000}, now)
+	now := Instant{Ms: 1000, WallMs: 1000}
+	p := NewPlanner(Config{State: NewState(), LeaseMs: 8_000, RetentionMs: 60_000}, now)
 	const n = 600
 	for i := range n {
 		p.Accept(Spec{
-			ID: fmt.Sprintf("%04d", i), Queue: "q", AtMs: now.Wall, Payload: strings.Repeat("x", 4000),
+			ID: fmt.Sprintf("%04d", i), Queue: "q", AcceptedMs: now.WallMs, Payload: strings.Repeat("x", 4000),
 			Steps: []Step{{Count: 1, Size: jobs.Size{CPU: 1}}},
 		}, now)
 	}
 	stored := 0
 	for batches := 1; ; batches++ {
-		b, err := p.TakeDirty(now)
+		b, err := p.TakeBatch(now)
 		assert.NilError(t, err)
 		p.Stored(b)
 		stored += len(b.Accepted)
@@ -156,17 +156,17 @@
 // allHosts always has a free host for advice requests.
 type allHosts struct{}
 
-func (allHosts) Idle() bool                  { return true }
-func (allHosts) Take(float64) (string, bool) { return "host", true }
+func (allHosts) Available() bool                { return true }
+func (allHosts) Reserve(float64) (string, bool) { return "host", true }
 
 // backlog returns a planner with n waiting jobs of each kind: gangs, wide steps
 // and urgent jobs.
 func backlog(workers, n int, now Instant) *Planner {
 	p := fleet(workers, now)
-	p.SetView(View{Queues: map[string]Queue{
-		"urgent": {Name: "urgent", Service: "s", Attempts: 3, Slack: 2, TargetMs: 250, Advice: &AdviceCost{BaseMs: 7, WorkerMs: 0.1, ValidMs: 1500}},
-		"gang":   {Name: "gang", Service: "s", Priority: 1, Attempts: 3, Slack: 2, TargetMs: 1000, Advice: &AdviceCost{BaseMs: 450, WorkerMs: 6.5, ValidMs: 1500}},
-		"wide":   {Name: "wide", Service: "s", Priority: 2, Attempts: 3, Slack: 4, TargetMs: 3000, Advice: &AdviceCost{BaseMs: 100, WorkerMs: 1.4, ValidMs: 1500}},
+	p.SetPolicy(Policy{Queues: map[string]Queue{
+		"urgent": {Name: "urgent", Service: "s", MaxAttempts: 3, Slack: 2, TargetMs: 250, Advice: &AdviceCost{BaseMs: 7, WorkerMs: 0.1, ValidMs: 1500}},
+		"gang":   {Name: "gang", Service: "s", Priority: 1, MaxAttempts: 3, Slack: 2, TargetMs: 1000, Advice: &AdviceCost{BaseMs: 450, WorkerMs: 6.5, ValidMs: 1500}},
+		"wide":   {Name: "wide", Service: "s", Priority: 2, MaxAttempts: 3, Slack: 4, TargetMs: 3000, Advice: &AdviceCost{BaseMs: 100, WorkerMs: 1.4, ValidMs: 1500}},
 	}})
 	for i := range n {
 		for queue, s := range map[string]Step{
@@ -174,7 +174,7 @@
 			"wide":   {Count: 25, Size: jobs.Size{CPU: 3_200}, EstimateMs: 2_700},
 			"urgent": {Count: 3, Size: jobs.Size{CPU: 4_600}, EstimateMs: 640},
 		} {
-			p.Accept(Spec{ID: fmt.Sprintf("%s%05d", queue, i), Queue: queue, AtMs: now.Wall, Steps: []Step{s}}, now)
+			p.Accept(Spec{ID: fmt.Sprintf("%s%05d", queue, i), Queue: queue, AcceptedMs: now.WallMs, Steps: []Step{s}}, now)
 		}
 	}
 	return p
@@ -185,22 +185,22 @@
 func BenchmarkBacklog(b *testing.B) {
 	for _, n := range []int{48, 350, 3200} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			now := Instant{Ms: 1000, Wall: 1000}
+			now := Instant{Ms: 1000, WallMs: 1000}
 			p := backlog(n, 2*n, now)
 			for range b.N {
-				now.Ms, now.Wall = now.Ms+5, now.Wall+5
+				now.Ms, now.WallMs = now.Ms+5, now.WallMs+5
 				plan := p.Plan(allHosts{}, now)
-				for _, w := range plan.Wants {
+				for _, w := range plan.Requests {
 					tickets := map[string]string{}
 					for i, id := range w.Workers {
 						if i%3 == 0 {
 							tickets[id] = "t"
 						}
 					}
-					p.Advised(w, tickets, true, now.Ms, now)
+					p.ApplyAdvice(w, tickets, true, now.Ms, now)
 				}
-				for _, s := range p.Release(plan.Starts, now) {
-					p.Started(s, StartUp, now)
+				for _, s := range p.ReleaseStarts(plan.Starts, now) {
+					p.ApplyStartOutcome(s, StartConfirmed, now)
 				}
 			}
 		})
--- a/internal/cell/sched/order.go
+++ b/internal/cell/sched/order.go
@@ -57,7 +57,7 @@
 func (p *Planner) rankStep(si *stepInstance, now Instant) rankedStep {
 	q := p.queue(si)
 	s := rankedStep{si: si, priority: q.Priority, deadlineMs: si.deadlineMs}
-	end := now.Wall + p.remainingMs(si)
+	end := now.WallMs + p.remainingMs(si)
 	uselessAfterMs := si.dueMs + lateFactor*(si.deadlineMs-si.dueMs)
 	switch {
 	case end > uselessAfterMs:
@@ -86,7 +86,7 @@
 // dependsOn reports whether step i depends on step target, directly or
 // indirectly. Steps depend only on steps before them.
 func dependsOn(steps []Step, i, target int) bool {
-	for _, d := range steps[i].After {
+	for _, d := range steps[i].DependsOn {
 		if d == target || d > target && dependsOn(steps, d, target) {
 			return true
 		}
@@ -149,7 +149,7 @@
 
 // exceedsRate takes a token of the team and reports whether there was none.
 func (p *Planner) exceedsRate(team string, now Instant) bool {
-	rate := float64(p.view.Teams[team].Weight)
+	rate := float64(p.policy.Teams[team].Weight)
 	if rate <= 0 {
 		return false
 	}
--- a/internal/cell/sched/place.go
+++ b/internal/cell/sched/place.go
@@ -7,26 +7,26 @@
 	"lagooncourse/internal/cell/trust"
 )
 
-// Start is an order to a worker to run a task. It may be sent once Release has
+// Start is an order to a worker to run a task. It may be sent once ReleaseStarts has
 // returned it.
 type Start struct {
-	Worker  string
-	Addr    string
-	Born    int64 // incarnation of the worker
-	Ref     Ref
-	Run     int
-	Payload string
-	Saved   string // checkpoint to resume from
-	Ticket  string // from the advice service
-	stepKey stepKey
+	Worker      string
+	Addr        string
+	Incarnation int64 // incarnation of the worker
+	Ref         Ref
+	Run         int
+	Payload     string
+	Checkpoint  string // checkpoint to resume from
+	Ticket      string // from the advice service
+	stepKey     stepKey
 }
 
 // Plan is the result of one planning round.
 type Plan struct {
-	Starts []Start // to be passed to Release once their intents are stored
-	Wants  []Want  // to be sent to the advice service
+	Starts   []Start         // to be passed to ReleaseStarts once their intents are stored
+	Requests []AdviceRequest // to be sent to the advice service
 
-	hosts           Desks
+	hosts           AdviceHosts
 	noHostFree      bool              // hostFree has found no free host in this plan
 	reservedCounted bool              // the number of reserved workers has been computed
 	reservedWorkers int               // number of workers reserved for gangs
@@ -43,7 +43,7 @@
 
 // Plan places waiting tasks in the order of rankedStep.before. A task for which
 // no worker has capacity does not block the ones after it.
-func (p *Planner) Plan(hosts Desks, now Instant) Plan {
+func (p *Planner) Plan(hosts AdviceHosts, now Instant) Plan {
 	plan := Plan{hosts: hosts}
 	for _, si := range p.firstSteps(maxPlanSteps, now) {
 		if len(plan.Starts) >= maxPlanStarts {
@@ -57,7 +57,7 @@
 // occurrenceDue reports whether the occurrence of a step instance is due.
 func (p *Planner) occurrenceDue(si *stepInstance, now Instant) bool {
 	spec := si.job.Spec
-	return spec.Times == 0 || now.Wall >= spec.FirstMs+int64(si.occ)*spec.EveryMs
+	return spec.Occurrences == 0 || now.WallMs >= spec.FirstMs+int64(si.occ)*spec.IntervalMs
 }
 
 // place starts as many tasks of a step instance as fit, and requests advice for
@@ -146,7 +146,7 @@
 // hostFree reports whether a host is free to send an advice request. Once none
 // was free, it returns false for the rest of the plan.
 func (plan *Plan) hostFree() bool {
-	plan.noHostFree = plan.noHostFree || !plan.hosts.Idle()
+	plan.noHostFree = plan.noHostFree || !plan.hosts.Available()
 	return !plan.noHostFree
 }
 
@@ -155,14 +155,14 @@
 	if !plan.hostFree() {
 		return "", false
 	}
-	return plan.hosts.Take(costMs)
+	return plan.hosts.Reserve(costMs)
 }
 
 // addRequest adds an advice request that the given host sends.
 func (p *Planner) addRequest(si *stepInstance, ids []string, host string, plan *Plan) {
 	si.advice.openRequests++
-	plan.Wants = append(plan.Wants, Want{
-		StepKey: si.key(), Step: si.stepName(), Workers: ids, CostMs: p.queue(si).Advice.responseMs(len(ids)), Desk: host,
+	plan.Requests = append(plan.Requests, AdviceRequest{
+		StepKey: si.key(), Step: si.stepName(), Workers: ids, CostMs: p.queue(si).Advice.responseMs(len(ids)), Host: host,
 	})
 }
 
@@ -170,7 +170,7 @@
 // all or none.
 func (p *Planner) withinLimit(si *stepInstance, waiting []int) []int {
 	spec := si.job.Spec
-	l, ok := p.view.Teams[spec.Team]
+	l, ok := p.policy.Teams[spec.Team]
 	if !ok {
 		return waiting
 	}
@@ -197,7 +197,7 @@
 func gangRun(tasks []Task) int {
 	run := 0
 	for _, t := range tasks {
-		run = max(run, t.Run)
+		run = max(run, t.LastRun)
 	}
 	return run + 1
 }
@@ -231,7 +231,7 @@
 			continue
 		}
 		list = append(list, placementOption{
-			w: w, slots: free, remote: s.Near != "" && w.Rack != s.Near, reserved: now.Ms < w.reservation.untilMs && w.reservation.stepKey != si.key(),
+			w: w, slots: free, remote: s.DataRack != "" && w.Rack != s.DataRack, reserved: now.Ms < w.reservation.untilMs && w.reservation.stepKey != si.key(),
 			slowdown: p.estimator.slowdownClass(w.ID), freeCPU: w.free().CPU - s.Size.CPU,
 		})
 	}
@@ -302,7 +302,7 @@
 
 // withinWorkerLimit applies the step's limit of tasks on one worker to n.
 func (p *Planner) withinWorkerLimit(si *stepInstance, w *Worker, n int) int {
-	if limit := si.spec().Apart; limit > 0 {
+	if limit := si.spec().MaxPerWorker; limit > 0 {
 		return min(n, limit-p.countOn(si, w))
 	}
 	return n
@@ -333,10 +333,10 @@
 func (p *Planner) start(si *stepInstance, index, run int, w *Worker, plan *Plan, now Instant) {
 	t := &si.tasks()[index]
 	if run == 0 {
-		run = t.Run + 1
+		run = t.LastRun + 1
 	}
 	si.failedTries = 0
-	t.State, t.Run, t.Worker, t.Born = Placed, run, w.ID, w.Born
+	t.State, t.LastRun, t.Worker, t.Incarnation = Placed, run, w.ID, w.Incarnation
 	ref := si.ref(index)
 	runMs := p.estimator.runMs(si.job.Spec.Queue, si.spec())
 	p.allocate(w, &allocation{
@@ -345,15 +345,15 @@
 	p.dirty[ref.Job] = true
 	ticket, _ := p.ticket(w, si, now)
 	plan.Starts = append(plan.Starts, Start{
-		Worker: w.ID, Addr: w.Addr, Born: w.Born, Ref: ref, Run: run, Payload: si.job.Spec.Payload,
-		Saved: t.Saved, Ticket: ticket, stepKey: si.key(),
+		Worker: w.ID, Addr: w.Addr, Incarnation: w.Incarnation, Ref: ref, Run: run, Payload: si.job.Spec.Payload,
+		Checkpoint: t.Checkpoint, Ticket: ticket, stepKey: si.key(),
 	})
 }
 
-// Release returns the starts that may be sent now that their intents are
+// ReleaseStarts returns the starts that may be sent now that their intents are
 // stored. It withdraws those whose job has ended, or whose worker or ticket can
 // no longer be used, and the other members of their gangs.
-func (p *Planner) Release(starts []Start, now Instant) (send []Start) {
+func (p *Planner) ReleaseStarts(starts []Start, now Instant) (send []Start) {
 	rejected := map[stepKey]bool{}
 	for _, s := range starts {
 		if !p.sendable(s, now) {
@@ -392,19 +392,19 @@
 	return a
 }
 
-// Due reports whether a released start should still be sent: its capacity is
+// ShouldSend reports whether a released start should still be sent: its capacity is
 // allocated on the same incarnation of the worker, and no stop was requested.
-func (p *Planner) Due(s Start) bool {
+func (p *Planner) ShouldSend(s Start) bool {
 	w := p.workers[s.Worker]
 	a := p.allocationOf(w, s)
-	return a != nil && a.phase == phaseSent && !a.stopping && w.Born == s.Born
+	return a != nil && a.phase == phaseSent && !a.stopping && w.Incarnation == s.Incarnation
 }
 
 // sendable reports whether a start can be sent: its step instance is open, its
 // worker usable and its ticket valid.
 func (p *Planner) sendable(s Start, now Instant) bool {
 	si, w := p.steps[s.stepKey], p.workers[s.Worker]
-	if si == nil || w == nil || w.Born != s.Born || p.allocationOf(w, s) == nil || !p.usable(w, si, now) {
+	if si == nil || w == nil || w.Incarnation != s.Incarnation || p.allocationOf(w, s) == nil || !p.usable(w, si, now) {
 		return false
 	}
 	_, ok := p.ticket(w, si, now)
@@ -419,7 +419,7 @@
 		return
 	}
 	t := j.task(r)
-	if t == nil || t.State != Placed || t.Run != run {
+	if t == nil || t.State != Placed || t.LastRun != run {
 		return
 	}
 	t.State = Waiting
--- a/internal/cell/sched/planner.go
+++ b/internal/cell/sched/planner.go
@@ -25,11 +25,11 @@
 //	p := sched.NewPlanner(sched.Config{State: state, LeaseMs: 8000}, now)
 //	p.Accept(spec, now)
 //	plan := p.Plan(hosts, now)     // allocates capacity
-//	batch, err := p.TakeDirty(now) // records to append
+//	batch, err := p.TakeBatch(now) // records to append
 //	p.Stored(batch)                // after the append
-//	send := p.Release(plan.Starts, now)
-//	p.Started(start, sched.StartUp, now)
-//	p.Listed("w1", lists, now)
+//	send := p.ReleaseStarts(plan.Starts, now)
+//	p.ApplyStartOutcome(start, sched.StartConfirmed, now)
+//	p.ApplyReport("w1", report, now)
 package sched
 
 import (
@@ -42,8 +42,8 @@
 // Instant is a point in time on both clocks. Other points in time with the
 // suffix Ms are on the monotonic clock unless their comment says "since 1970".
 type Instant struct {
-	Ms   int64 // monotonic clock of the process, in ms
-	Wall int64 // wall clock, in ms since 1970
+	Ms     int64 // monotonic clock of the process, in ms
+	WallMs int64 // wall clock, in ms since 1970
 }
 
 // Limit is the quota and the job rate of a team.
@@ -52,21 +52,21 @@
 	Weight int64     // jobs a second; 0 means no limit
 }
 
-// View holds the queues, team limits and closed zones, including the changes
+// Policy holds the queues, team limits and closed zones, including the changes
 // made by operators.
-type View struct {
-	Queues map[string]Queue
-	Teams  map[string]Limit
-	Closed map[string]bool // availability zones out of service
+type Policy struct {
+	Queues    map[string]Queue
+	Teams     map[string]Limit
+	ClosedAzs map[string]bool // availability zones out of service
 }
 
 // Config holds the parameters of a Planner.
 type Config struct {
-	State      *State
-	SilenceMs  int64 // how long after a claim the previous owner may still renew leases
-	LeaseMs    int64 // duration of the lease that a renewal requests
-	LeaseMaxMs int64 // longest lease that a worker grants
-	KeepMs     int64 // how long an ended job is retained
+	State            *State
+	PrevOwnerRenewMs int64 // how long after a claim the previous owner may still renew leases
+	LeaseMs          int64 // duration of the lease that a renewal requests
+	MaxLeaseMs       int64 // longest lease that a worker grants
+	RetentionMs      int64 // how long an ended job is retained
 }
 
 // Margins added to the duration of a lease.
@@ -77,19 +77,19 @@
 
 // stepInstance is one step of one occurrence of an open job.
 type stepInstance struct {
-	job         *Job
-	occ         int
-	step        int
-	dueMs       int64 // when the occurrence became due, in ms since 1970
-	deadlineMs  int64 // when the job should have ended, in ms since 1970
-	readyMs     int64 // monotonic time at which it became ready to run
-	advice      adviceState
-	retryAtMs   int64 // no placement is tried before this time
-	rank        rank  // result of the last ranking
-	failedTries int   // failed tries since the last start or advice
-	failedRun   int   // number of the latest gang run that was counted as a failure
-	queue       *Queue
-	viewVersion int // configuration version from which the field queue was read
+	job           *Job
+	occ           int
+	step          int
+	dueMs         int64 // when the occurrence became due, in ms since 1970
+	deadlineMs    int64 // when the job should have ended, in ms since 1970
+	readyMs       int64 // monotonic time at which it became ready to run
+	advice        adviceState
+	retryAtMs     int64 // no placement is tried before this time
+	rank          rank  // result of the last ranking
+	failedTries   int   // failed tries since the last start or advice
+	failedRun     int   // number of the latest gang run that was counted as a failure
+	queue         *Queue
+	policyVersion int // configuration version from which the field queue was read
 }
 
 func (si *stepInstance) spec() Step    { return si.job.Spec.Steps[si.step] }
@@ -111,9 +111,9 @@
 type Planner struct {
 	cfg            Config
 	state          *State
-	view           View
+	policy         Policy
 	queues         map[string]*Queue
-	viewVersion    int // number of configurations set so far
+	policyVersion  int // number of configurations set so far
 	workers        map[string]*Worker
 	used           map[string]jobs.Size // total allocated size, by team
 	steps          map[stepKey]*stepInstance
@@ -123,7 +123,7 @@
 	storedVerdicts map[string]Verdict        // verdicts that are stored, by job
 	storedJobs     map[string]bool           // jobs whose acceptance is stored
 	stops          []Stop
-	trust          *trust.Trust
+	trust          *trust.Tracker
 	allowedShares  map[string]*allowedShare // share of the workers that advice allows, by queue
 	estimator      estimator
 	buckets        map[string]*tokenBucket // by team
@@ -152,7 +152,7 @@
 		if j.Progress.Verdict != Open {
 			p.stopJob(j)
 			// EndMs is on the wall clock; convert it to the monotonic clock.
-			p.ended = append(p.ended, endedJob{id, now.Ms - max(now.Wall-j.Progress.EndMs, 0)})
+			p.ended = append(p.ended, endedJob{id, now.Ms - max(now.WallMs-j.Progress.EndMs, 0)})
 			continue
 		}
 		p.addSteps(j, now)
@@ -171,10 +171,10 @@
 				}
 				w := p.workers[t.Worker]
 				if w == nil {
-					w = p.addWorker(WorkerInfo{ID: t.Worker, Born: t.Born}, now)
+					w = p.addWorker(WorkerInfo{ID: t.Worker, Incarnation: t.Incarnation}, now)
 				}
 				p.allocate(w, &allocation{
-					ref: Ref{j.Spec.ID, occ, step, i}, run: t.Run, size: s.demand(), team: j.Spec.Team,
+					ref: Ref{j.Spec.ID, occ, step, i}, run: t.LastRun, size: s.demand(), team: j.Spec.Team,
 					phase: phaseAdopted, phaseStartMs: now.Ms, runMs: s.EstimateMs, endMs: now.Ms + s.EstimateMs,
 				})
 			}
@@ -183,10 +183,10 @@
 }
 
 // addWorker adds a worker that is not fenced yet: a previous owner may still
-// renew its lease for SilenceMs.
+// renew its lease for PrevOwnerRenewMs.
 func (p *Planner) addWorker(info WorkerInfo, now Instant) *Worker {
 	w := newWorker(info)
-	w.leaseExpiryMs = now.Ms + p.cfg.SilenceMs + p.leaseBound()
+	w.leaseExpiryMs = now.Ms + p.cfg.PrevOwnerRenewMs + p.leaseBound()
 	p.workers[info.ID] = w
 	return w
 }
@@ -195,7 +195,7 @@
 func (p *Planner) leaseBound() int64 { return elapsedBound(p.cfg.LeaseMs) }
 
 // maxLeaseBound is leaseBound for the longest lease that a worker grants.
-func (p *Planner) maxLeaseBound() int64 { return elapsedBound(max(p.cfg.LeaseMaxMs, p.cfg.LeaseMs)) }
+func (p *Planner) maxLeaseBound() int64 { return elapsedBound(max(p.cfg.MaxLeaseMs, p.cfg.LeaseMs)) }
 
 // elapsedBound returns how long a lease of ms milliseconds on a worker's clock
 // may last on the clock of this process, including the margins.
@@ -268,7 +268,7 @@
 	si := p.steps[key]
 	s := j.Spec.Steps[step]
 	ready := waiting > 0 && (!s.Gang || waiting == s.Count)
-	for _, d := range s.After {
+	for _, d := range s.DependsOn {
 		done, _ := countTasks(j.stepTasks(occ, d))
 		ready = ready && done == j.Spec.Steps[d].Count
 	}
@@ -289,15 +289,15 @@
 // queue's target latency.
 func (p *Planner) setDeadline(si *stepInstance) {
 	spec := si.job.Spec
-	si.dueMs = spec.AtMs
-	if spec.Times > 0 {
-		si.dueMs = spec.FirstMs + int64(si.occ)*spec.EveryMs
+	si.dueMs = spec.AcceptedMs
+	if spec.Occurrences > 0 {
+		si.dueMs = spec.FirstMs + int64(si.occ)*spec.IntervalMs
 	}
-	q := p.view.Queues[spec.Queue]
+	q := p.policy.Queues[spec.Queue]
 	ends := make([]int64, len(spec.Steps))
 	var criticalPath int64
 	for i, s := range spec.Steps {
-		for _, d := range s.After {
+		for _, d := range s.DependsOn {
 			ends[i] = max(ends[i], ends[d])
 		}
 		ends[i] += p.estimator.runMs(spec.Queue, s)
@@ -309,7 +309,7 @@
 // endJob sets the verdict of a job and stops its remaining runs.
 func (p *Planner) endJob(j *Job, v Verdict, now Instant) {
 	j.Progress.Verdict = v
-	j.Progress.EndMs = now.Wall
+	j.Progress.EndMs = now.WallMs
 	id := j.Spec.ID
 	p.dirty[id] = true
 	p.ended = append(p.ended, endedJob{id, now.Ms})
@@ -343,12 +343,12 @@
 		return
 	}
 	if w := p.workers[t.Worker]; w != nil {
-		p.stop(w, r, t.Run)
+		p.stop(w, r, t.LastRun)
 	}
 }
 
-// stop requests a stop of a run. A start that Release has not returned yet needs
-// no stop, because Release withdraws it.
+// stop requests a stop of a run. A start that ReleaseStarts has not returned yet needs
+// no stop, because ReleaseStarts withdraws it.
 func (p *Planner) stop(w *Worker, r Ref, run int) {
 	a := w.allocations[r]
 	if a != nil && a.run == run {
@@ -374,10 +374,10 @@
 	return s
 }
 
-// SetView replaces the configuration.
-func (p *Planner) SetView(v View) {
-	p.view = v
-	p.viewVersion++
+// SetPolicy replaces the configuration.
+func (p *Planner) SetPolicy(v Policy) {
+	p.policy = v
+	p.policyVersion++
 	p.queues = map[string]*Queue{}
 	for name, q := range v.Queues {
 		p.queues[name] = &q
@@ -389,8 +389,8 @@
 
 // queue returns the queue of a step instance, cached for each configuration.
 func (p *Planner) queue(si *stepInstance) *Queue {
-	if si.queue == nil || si.viewVersion != p.viewVersion {
-		si.queue, si.viewVersion = p.queues[si.job.Spec.Queue], p.viewVersion
+	if si.queue == nil || si.policyVersion != p.policyVersion {
+		si.queue, si.policyVersion = p.queues[si.job.Spec.Queue], p.policyVersion
 		if si.queue == nil {
 			si.queue = missingQueue
 		}
--- a/internal/cell/sched/report.go
+++ b/internal/cell/sched/report.go
@@ -11,12 +11,12 @@
 
 // Outcomes of a start.
 const (
-	StartUp       Outcome = iota // the worker has confirmed the run
-	StartRefused                 // refused without effect
-	StartNoTicket                // refused because its ticket is missing or not valid
-	StartNoRoom                  // refused for lack of capacity
-	StartOld                     // refused: a run with this or a higher number has ended there
-	StartUnknown                 // no reply; the run may still start
+	StartConfirmed  Outcome = iota // the worker has confirmed the run
+	StartRefused                   // refused without effect
+	StartNoTicket                  // refused because its ticket is missing or not valid
+	StartNoCapacity                // refused for lack of capacity
+	StartStaleRun                  // refused: a run with this or a higher number has ended there
+	StartUnknown                   // no reply; the run may still start
 )
 
 // String returns the outcome's name.
@@ -30,22 +30,22 @@
 	capacityBackoffMs = 200 // the worker has less free capacity than the planner computed
 )
 
-// Started handles the outcome of a start.
-func (p *Planner) Started(s Start, o Outcome, now Instant) {
+// ApplyStartOutcome handles the outcome of a start.
+func (p *Planner) ApplyStartOutcome(s Start, o Outcome, now Instant) {
 	w := p.workers[s.Worker]
 	a := p.allocationOf(w, s)
 	if a == nil {
 		return
 	}
 	switch o {
-	case StartUp:
+	case StartConfirmed:
 		a.phase, a.phaseStartMs, a.endMs = phaseRunning, now.Ms, now.Ms+a.runMs
 		j := p.state.Jobs[s.Ref.Job]
 		if j == nil || j.Progress.Verdict != Open {
 			p.stop(w, s.Ref, s.Run)
 			return
 		}
-		j.Progress.Begun = true
+		j.Progress.RunConfirmed = true
 		return
 	case StartUnknown:
 		p.stop(w, s.Ref, s.Run)
@@ -57,7 +57,7 @@
 			g.untilMs = 0
 			si.advice.answers[s.Worker] = g
 		}
-	case StartNoRoom:
+	case StartNoCapacity:
 		w.backoffUntilMs = now.Ms + capacityBackoffMs
 	case StartRefused:
 		w.backoffUntilMs = now.Ms + busyBackoffMs
@@ -81,10 +81,10 @@
 	}
 }
 
-// StopDenied is called when a worker has accepted a stop, or has refused it
+// StopConfirmed is called when a worker has accepted a stop, or has refused it
 // because the run is absent. A list requested after now shows whether the run
 // still exists.
-func (p *Planner) StopDenied(s Stop, now Instant) {
+func (p *Planner) StopConfirmed(s Stop, now Instant) {
 	w := p.workers[s.Worker]
 	if w == nil {
 		return
@@ -100,12 +100,12 @@
 	if w == nil {
 		w = p.addWorker(info, now)
 	}
-	incarnation := w.Born
-	if incarnation != 0 && info.Born > incarnation {
-		p.newIncarnation(w, info.Born, now)
+	incarnation := w.Incarnation
+	if incarnation != 0 && info.Incarnation > incarnation {
+		p.newIncarnation(w, info.Incarnation, now)
 	}
-	if info.Born < incarnation {
-		info.Born = incarnation // a late entry of an earlier incarnation
+	if info.Incarnation < incarnation {
+		info.Incarnation = incarnation // a late entry of an earlier incarnation
 	}
 	w.WorkerInfo = info
 	w.registered = true
@@ -118,9 +118,9 @@
 	}
 }
 
-// Targets returns the workers whose leases are to be renewed, sorted by ID: those
-// with a registry entry and those with allocations.
-func (p *Planner) Targets() []WorkerInfo {
+// WorkersToRenew returns the workers whose leases are to be renewed, sorted by ID:
+// those with a registry entry and those with allocations.
+func (p *Planner) WorkersToRenew() []WorkerInfo {
 	var list []WorkerInfo
 	for _, w := range p.workers {
 		if w.Addr != "" && (w.registered || len(w.allocations) > 0) {
@@ -131,7 +131,7 @@
 	return list
 }
 
-// Worker returns the registry entry of a worker that Targets would return, and
+// Worker returns the registry entry of a worker that WorkersToRenew would return, and
 // false for any other worker.
 func (p *Planner) Worker(id string) (WorkerInfo, bool) {
 	w := p.workers[id]
@@ -141,8 +141,8 @@
 	return w.WorkerInfo, true
 }
 
-// Applied returns the sequence number of the last applied end of a worker.
-func (p *Planner) Applied(id string) int64 {
+// AppliedSeq returns the sequence number of the last applied end of a worker.
+func (p *Planner) AppliedSeq(id string) int64 {
 	if w := p.workers[id]; w != nil {
 		return w.appliedSeq
 	}
@@ -154,7 +154,7 @@
 // may have extended the lease to the longest that the worker grants.
 func (p *Planner) newIncarnation(w *Worker, incarnation int64, now Instant) {
 	w.leaseExpiryMs = max(w.leaseExpiryMs, now.Ms+p.maxLeaseBound())
-	w.Born, w.appliedSeq, w.storedSeq, w.listed = incarnation, 0, 0, false
+	w.Incarnation, w.appliedSeq, w.storedSeq, w.listed = incarnation, 0, 0, false
 	p.loseRuns(w, now, func(*allocation) bool { return true })
 }
 
@@ -173,16 +173,16 @@
 	return lost
 }
 
-// Renewing is called before a call that renews the lease of a worker is sent.
-func (p *Planner) Renewing(id string, now Instant) {
+// BeforeRenewal is called before a call that renews the lease of a worker is sent.
+func (p *Planner) BeforeRenewal(id string, now Instant) {
 	if w := p.workers[id]; w != nil {
 		w.leaseExpiryMs = max(w.leaseExpiryMs, now.Ms+p.leaseBound())
 	}
 }
 
-// Unanswered is called when a call to a worker got no reply. It reports whether
+// HeartbeatFailed is called when a call to a worker got no reply. It reports whether
 // the worker was reachable before.
-func (p *Planner) Unanswered(id string) (lostContact bool) {
+func (p *Planner) HeartbeatFailed(id string) (lostContact bool) {
 	w := p.workers[id]
 	if w == nil {
 		return false
@@ -200,7 +200,7 @@
 		if w.reachable || now.Ms < w.leaseExpiryMs {
 			continue
 		}
-		// Release withdraws starts that were not sent.
+		// ReleaseStarts withdraws starts that were not sent.
 		if p.loseRuns(w, now, func(a *allocation) bool { return a.phase != phaseIntent }) {
 			lost = append(lost, id)
 		}
@@ -211,38 +211,38 @@
 	return lost
 }
 
-// Lists is the reply of a worker to a call that was sent at SentMs, a monotonic
+// WorkerReport is the reply of a worker to a call that was sent at SentMs, a monotonic
 // time.
-type Lists struct {
-	SentMs   int64
-	Born     int64 // incarnation of the worker
-	Running  []Running
-	Finished []Finished
+type WorkerReport struct {
+	SentMs      int64
+	Incarnation int64 // incarnation of the worker
+	Running     []Running
+	Finished    []Finished
 }
 
 // maxFinished is the maximum number of ends in one reply.
 const maxFinished = 500
 
-// Listed applies the ends that a worker lists, and compares its active runs with
+// ApplyReport applies the ends that a worker lists, and compares its active runs with
 // the allocations.
-func (p *Planner) Listed(id string, l Lists, now Instant) {
+func (p *Planner) ApplyReport(id string, l WorkerReport, now Instant) {
 	w := p.workers[id]
 	if w == nil {
 		return
 	}
-	if l.Born != 0 && w.Born != 0 && l.Born != w.Born {
-		if l.Born < w.Born {
+	if l.Incarnation != 0 && w.Incarnation != 0 && l.Incarnation != w.Incarnation {
+		if l.Incarnation < w.Incarnation {
 			return
 		}
-		p.newIncarnation(w, l.Born, now)
+		p.newIncarnation(w, l.Incarnation, now)
 	}
-	if l.Born != 0 {
-		if w.Born == 0 {
-			w.Born = l.Born
+	if l.Incarnation != 0 {
+		if w.Incarnation == 0 {
+			w.Incarnation = l.Incarnation
 		}
 		// Adopted runs of another incarnation ended with it.
 		p.loseRuns(w, now, func(a *allocation) bool {
-			return a.phase == phaseAdopted && p.incarnationOf(a) != 0 && p.incarnationOf(a) != l.Born
+			return a.phase == phaseAdopted && p.incarnationOf(a) != 0 && p.incarnationOf(a) != l.Incarnation
 		})
 	}
 	if !w.listed {
@@ -253,10 +253,10 @@
 	}
 	w.listed, w.reachable = true, true
 	for _, f := range l.Finished {
-		if f.N <= w.appliedSeq {
+		if f.Seq <= w.appliedSeq {
 			continue
 		}
-		w.appliedSeq = f.N
+		w.appliedSeq = f.Seq
 		p.applyFinished(w, f, now)
 	}
 	p.checkRunning(w, l, now)
@@ -266,7 +266,7 @@
 func (p *Planner) incarnationOf(a *allocation) int64 {
 	if j := p.state.Jobs[a.ref.Job]; j != nil {
 		if t := j.task(a.ref); t != nil {
-			return t.Born
+			return t.Incarnation
 		}
 	}
 	return 0
@@ -276,7 +276,7 @@
 // that are missing from the list are requeued if a stop was confirmed or they
 // were adopted. If the worker had confirmed their start, they are stopped first;
 // they are requeued when a list sent after the confirmed stop omits them too.
-func (p *Planner) checkRunning(w *Worker, l Lists, now Instant) {
+func (p *Planner) checkRunning(w *Worker, l WorkerReport, now Instant) {
 	listed := make(map[Ref]bool, len(l.Running))
 	for _, r := range l.Running {
 		ref, ok := ParseRef(r.Task)
@@ -322,9 +322,9 @@
 		p.stop(w, ref, r.Run)
 		return
 	}
-	j.Progress.Begun = true
-	if t := j.task(ref); t != nil && t.Run == r.Run && r.Saved != "" {
-		p.saveCheckpoint(j, ref, r.Saved) // stored with the next progress record
+	j.Progress.RunConfirmed = true
+	if t := j.task(ref); t != nil && t.LastRun == r.Run && r.Checkpoint != "" {
+		p.saveCheckpoint(j, ref, r.Checkpoint) // stored with the next progress record
 	}
 }
 
@@ -342,7 +342,7 @@
 	if j == nil {
 		return
 	}
-	if a != nil && a.run == f.Run && a.phase == phaseRunning && f.How == EndDone && j.task(ref) != nil {
+	if a != nil && a.run == f.Run && a.phase == phaseRunning && f.Reason == EndDone && j.task(ref) != nil {
 		p.estimator.recordRun(j.Spec.Queue, w.ID, j.Spec.Steps[ref.Step], now.Ms-a.phaseStartMs)
 	}
 	t := j.task(ref)
@@ -350,15 +350,15 @@
 		return
 	}
 	p.recordTrust(w, ref, f, now)
-	j.Progress.Begun = true
+	j.Progress.RunConfirmed = true
 	// Ignore the end if the task is done or has a newer run, or if the task was
 	// already requeued and the run did not succeed.
-	if t.State == Done || t.Run > f.Run || t.State == Waiting && f.How != EndDone {
+	if t.State == Done || t.LastRun > f.Run || t.State == Waiting && f.Reason != EndDone {
 		return
 	}
 	p.dirty[ref.Job] = true
-	if f.Saved != "" {
-		p.saveCheckpoint(j, ref, f.Saved)
+	if f.Checkpoint != "" {
+		p.saveCheckpoint(j, ref, f.Checkpoint)
 	}
 	p.updateTask(j, ref, t, f, now)
 	p.updateJob(j, now)
@@ -367,21 +367,21 @@
 // recordTrust adds a success or failure to the trust record of a worker. Other
 // ends do not indicate whether the worker is faulty.
 func (p *Planner) recordTrust(w *Worker, ref Ref, f Finished, now Instant) {
-	if f.How == EndDone || f.How == EndFailed {
-		p.trust.Note(trust.End{Worker: w.ID, Job: ref.Job, OK: f.How == EndDone, AtMs: now.Ms})
+	if f.Reason == EndDone || f.Reason == EndFailed {
+		p.trust.Record(trust.End{Worker: w.ID, Job: ref.Job, OK: f.Reason == EndDone, AtMs: now.Ms})
 	}
 }
 
 // saveCheckpoint stores a checkpoint of a task. The checkpoint of one gang member
 // is valid for the whole gang.
-func (p *Planner) saveCheckpoint(j *Job, ref Ref, saved string) {
+func (p *Planner) saveCheckpoint(j *Job, ref Ref, checkpoint string) {
 	if !j.Spec.Steps[ref.Step].Gang {
-		j.task(ref).Saved = saved
+		j.task(ref).Checkpoint = checkpoint
 		return
 	}
 	tasks := j.stepTasks(ref.Occ, ref.Step)
 	for i := range tasks {
-		tasks[i].Saved = saved
+		tasks[i].Checkpoint = checkpoint
 	}
 }
 
@@ -389,16 +389,16 @@
 func (p *Planner) updateTask(j *Job, ref Ref, t *Task, f Finished, now Instant) {
 	s := j.Spec.Steps[ref.Step]
 	switch {
-	case f.How == EndDone && s.Lasts:
+	case f.Reason == EndDone && s.LongRunning:
 		t.State = Waiting
-	case f.How == EndDone && s.Gang:
+	case f.Reason == EndDone && s.Gang:
 		tasks := j.stepTasks(ref.Occ, ref.Step)
 		for i := range tasks {
 			tasks[i].State = Done
 		}
-	case f.How == EndDone:
+	case f.Reason == EndDone:
 		t.State = Done
-	case f.How == EndFailed:
+	case f.Reason == EndFailed:
 		p.countFailure(j, ref, t, f, now)
 	default:
 		t.State = Waiting
@@ -423,8 +423,8 @@
 		p.stopGang(ref)
 	}
 	counted.Failures++
-	attempts := p.view.Queues[j.Spec.Queue].Attempts
-	if !s.Lasts && attempts > 0 && counted.Failures >= attempts && j.Progress.Verdict == Open {
+	attempts := p.policy.Queues[j.Spec.Queue].MaxAttempts
+	if !s.LongRunning && attempts > 0 && counted.Failures >= attempts && j.Progress.Verdict == Open {
 		p.endJob(j, JobFailed, now)
 	}
 }
--- a/internal/cell/sched/gather.go
+++ b/internal/cell/sched/reserve.go
@@ -156,7 +156,7 @@
 	case c.members <= 0:
 	case advised:
 		g := si.advice.answers[c.w.ID]
-		c.ticketValid = p.queue(si).Advice == nil || g.incarnation == c.w.Born && g.untilMs > replyAtMs
+		c.ticketValid = p.queue(si).Advice == nil || g.incarnation == c.w.Incarnation && g.untilMs > replyAtMs
 		allowed = append(allowed, c)
 	default:
 		unknown = append(unknown, c)
--- a/internal/cell/sched/rules_test.go
+++ b/internal/cell/sched/rules_test.go
@@ -23,9 +23,9 @@
 //	queue NAME [prio=N] [attempts=N] [advice=BASE_MS]
 //	team NAME [cpu=N] [weight=N]
 //	close AZ
-//	worker ID cpu=N [az=] [rack=] [label=] [born=N] [draining=1] [unlisted=1]
+//	worker ID cpu=N [az=] [rack=] [label=] [incarnation=N] [draining=1] [unlisted=1]
 //	job ID queue=NAME [team=] [steps=N] [count=N] [cpu=N] [ms=N] [gang=1]
-//	    [apart=N] [needs=LABEL] [near=RACK] [lasts=1] [samerack=1]
+//	    [maxperworker=N] [label=LABEL] [datarack=RACK] [longrunning=1] [samerack=1]
 //	    [times=N first=MS every=MS]
 //	cancel JOB
 //	takeover
@@ -40,11 +40,11 @@
 // Replies of the advice service and of workers:
 //
 //	allow STEP WORKER...
-//	up, refused, unknown or noroom, each with TASK or "all"
+//	up, refused, unknown or nocapacity, each with TASK or "all"
 //	stop-confirmed WORKER TASK RUN
 //	unanswered WORKER
 //	renew WORKER    a renewal is sent
-//	list WORKER [born=N] [run:TASK:RUN] [end:N:TASK:RUN:HOW]
+//	list WORKER [incarnation=N] [run:TASK:RUN] [end:SEQ:TASK:RUN:REASON]
 //
 // Queries:
 //
@@ -57,8 +57,8 @@
 	p         *Planner
 	now       Instant
 	starts    []Start
-	view      View
-	requests  []Want
+	policy    Policy
+	requests  []AdviceRequest
 	freeHosts int // free hosts for advice requests
 	records   [][2]string
 }
@@ -76,8 +76,8 @@
 	f, err := os.Open(name)
 	assert.NilError(t, err)
 	defer f.Close()
-	s := &script{t: t, now: Instant{Ms: 100_000, Wall: 100_000}, freeHosts: 8}
-	s.view = View{Queues: map[string]Queue{}, Teams: map[string]Limit{}, Closed: map[string]bool{}}
+	s := &script{t: t, now: Instant{Ms: 100_000, WallMs: 100_000}, freeHosts: 8}
+	s.policy = Policy{Queues: map[string]Queue{}, Teams: map[string]Limit{}, ClosedAzs: map[string]bool{}}
 	s.newOwner()
 	in := bufio.NewScanner(f)
 	for n := 1; in.Scan(); n++ {
@@ -95,10 +95,10 @@
 	}
 }
 
-// Idle and Take implement Desks.
-func (s *script) Idle() bool { return s.freeHosts > 0 }
+// Available and Reserve implement AdviceHosts.
+func (s *script) Available() bool { return s.freeHosts > 0 }
 
-func (s *script) Take(float64) (string, bool) {
+func (s *script) Reserve(float64) (string, bool) {
 	s.freeHosts--
 	return "host", s.freeHosts >= 0
 }
@@ -109,8 +109,8 @@
 	for _, r := range s.records {
 		assert.NilError(s.t, state.Apply(r[0], []byte(r[1])))
 	}
-	s.p = NewPlanner(Config{State: state, SilenceMs: 6_000, LeaseMs: 8_000, KeepMs: 60_000}, s.now)
-	s.p.SetView(s.view)
+	s.p = NewPlanner(Config{State: state, PrevOwnerRenewMs: 6_000, LeaseMs: 8_000, RetentionMs: 60_000}, s.now)
+	s.p.SetPolicy(s.policy)
 	s.starts, s.requests = nil, nil
 }
 
@@ -135,24 +135,24 @@
 	a := args(f[1:])
 	switch f[0] {
 	case "queue":
-		q := Queue{Name: f[1], Service: "s", Priority: int(num(a["prio"])), Attempts: int(num(a["attempts"])), Slack: 2, TargetMs: 250}
+		q := Queue{Name: f[1], Service: "s", Priority: int(num(a["prio"])), MaxAttempts: int(num(a["attempts"])), Slack: 2, TargetMs: 250}
 		if a["advice"] != "" {
 			q.Advice = &AdviceCost{BaseMs: float64(num(a["advice"])), WorkerMs: 1, ValidMs: 2_000}
 		}
-		s.view.Queues[f[1]] = q
-		s.p.SetView(s.view)
+		s.policy.Queues[f[1]] = q
+		s.p.SetPolicy(s.policy)
 	case "team":
-		s.view.Teams[f[1]] = Limit{Max: jobs.Size{CPU: num(a["cpu"])}, Weight: num(a["weight"])}
-		s.p.SetView(s.view)
+		s.policy.Teams[f[1]] = Limit{Max: jobs.Size{CPU: num(a["cpu"])}, Weight: num(a["weight"])}
+		s.p.SetPolicy(s.policy)
 	case "close":
-		s.view.Closed[f[1]] = true
+		s.policy.ClosedAzs[f[1]] = true
 	case "worker":
 		s.worker(f[1], a)
 	case "job":
 		s.job(f[1], a)
 	case "wait":
 		s.now.Ms += num(f[1])
-		s.now.Wall += num(f[1])
+		s.now.WallMs += num(f[1])
 	case "plan":
 		return s.plan()
 	case "store":
@@ -170,29 +170,29 @@
 func (s *script) worker(id string, a map[string]string) {
 	info := WorkerInfo{
 		ID: id, Addr: id, Service: "s", Az: a["az"], Rack: a["rack"], Labels: []string{a["label"], a["rack"]},
-		Capacity: jobs.Size{CPU: num(a["cpu"]), Mem: 1 << 30, Accel: 8}, Born: max(num(a["born"]), 1), Draining: a["draining"] != "",
+		Capacity: jobs.Size{CPU: num(a["cpu"]), Mem: 1 << 30, Accel: 8}, Incarnation: max(num(a["incarnation"]), 1), Draining: a["draining"] != "",
 	}
 	s.p.SetWorker(info, s.now)
 	if a["unlisted"] == "" {
-		s.p.Listed(id, Lists{SentMs: s.now.Ms, Born: info.Born}, s.now)
+		s.p.ApplyReport(id, WorkerReport{SentMs: s.now.Ms, Incarnation: info.Incarnation}, s.now)
 	}
 }
 
 func (s *script) job(id string, a map[string]string) {
-	spec := Spec{ID: id, Queue: a["queue"], Team: a["team"], AtMs: s.now.Wall}
+	spec := Spec{ID: id, Queue: a["queue"], Team: a["team"], AcceptedMs: s.now.WallMs}
 	steps := max(num(a["steps"]), 1)
 	for i := range steps {
 		st := Step{
 			Count: int(max(num(a["count"]), 1)), Size: jobs.Size{CPU: num(a["cpu"])}, EstimateMs: max(num(a["ms"]), 1), Gang: a["gang"] != "",
-			Apart: int(num(a["apart"])), Needs: a["needs"], Near: a["near"], Lasts: a["lasts"] != "", SameRack: a["samerack"] != "",
+			MaxPerWorker: int(num(a["maxperworker"])), RequiredLabel: a["label"], DataRack: a["datarack"], LongRunning: a["longrunning"] != "", SameRack: a["samerack"] != "",
 		}
 		if i > 0 {
-			st.After = []int{int(i - 1)}
+			st.DependsOn = []int{int(i - 1)}
 		}
 		spec.Steps = append(spec.Steps, st)
 	}
 	if a["times"] != "" {
-		spec.Times, spec.FirstMs, spec.EveryMs = int(num(a["times"])), s.now.Wall+num(a["first"]), num(a["every"])
+		spec.Occurrences, spec.FirstMs, spec.IntervalMs = int(num(a["times"])), s.now.WallMs+num(a["first"]), num(a["every"])
 	}
 	s.p.Accept(spec, s.now)
 }
@@ -202,13 +202,13 @@
 	s.p.Tick(s.now)
 	plan := s.p.Plan(s, s.now)
 	s.starts = append(s.starts, plan.Starts...)
-	s.requests = append(s.requests, plan.Wants...)
+	s.requests = append(s.requests, plan.Requests...)
 	var out []string
 	for _, st := range plan.Starts {
 		out = append(out, fmt.Sprintf("%s/%d@%s", st.Ref, st.Run, st.Worker))
 	}
 	sort.Strings(out)
-	for _, w := range plan.Wants {
+	for _, w := range plan.Requests {
 		sort.Strings(w.Workers)
 		out = append(out, fmt.Sprintf("ask %s %s", w.Step, strings.Join(w.Workers, ",")))
 	}
@@ -217,13 +217,13 @@
 
 // store stores the pending records and returns the released starts.
 func (s *script) store() string {
-	b, err := s.p.TakeDirty(s.now)
+	b, err := s.p.TakeBatch(s.now)
 	assert.NilError(s.t, err)
 	for i, k := range b.Keys {
 		s.records = append(s.records, [2]string{k, string(b.Values[i])})
 	}
 	s.p.Stored(b)
-	send := s.p.Release(s.starts, s.now)
+	send := s.p.ReleaseStarts(s.starts, s.now)
 	s.starts = send
 	var out []string
 	for _, st := range send {
@@ -245,7 +245,7 @@
 		for _, id := range ids {
 			tickets[id] = "t"
 		}
-		s.p.Advised(w, tickets, true, s.now.Ms, s.now)
+		s.p.ApplyAdvice(w, tickets, true, s.now.Ms, s.now)
 		return ""
 	}
 	return "no advice request"
@@ -254,20 +254,20 @@
 // report runs the commands for replies of workers, cancellations and queries.
 func (s *script) report(f []string, a map[string]string) string {
 	switch f[0] {
-	case "up", "refused", "unknown", "noroom":
-		out := map[string]Outcome{"up": StartUp, "refused": StartRefused, "unknown": StartUnknown, "noroom": StartNoRoom}[f[0]]
+	case "up", "refused", "unknown", "nocapacity":
+		out := map[string]Outcome{"up": StartConfirmed, "refused": StartRefused, "unknown": StartUnknown, "nocapacity": StartNoCapacity}[f[0]]
 		for _, st := range s.starts {
 			if f[1] == "all" || f[1] == st.Ref.String() {
-				s.p.Started(st, out, s.now)
+				s.p.ApplyStartOutcome(st, out, s.now)
 			}
 		}
 	case "stop-confirmed":
 		ref, _ := ParseRef(f[2])
-		s.p.StopDenied(Stop{Worker: f[1], Ref: ref, Run: int(num(f[3]))}, s.now)
+		s.p.StopConfirmed(Stop{Worker: f[1], Ref: ref, Run: int(num(f[3]))}, s.now)
 	case "unanswered":
-		s.p.Unanswered(f[1])
+		s.p.HeartbeatFailed(f[1])
 	case "renew":
-		s.p.Renewing(f[1], s.now)
+		s.p.BeforeRenewal(f[1], s.now)
 	case "list":
 		s.list(f[1], f[2:])
 	case "cancel":
@@ -288,7 +288,7 @@
 	case "pending":
 		return fmt.Sprint(s.p.Pending(f[1]))
 	case "acked":
-		return fmt.Sprint(s.p.Seen(f[1]))
+		return fmt.Sprint(s.p.StoredSeq(f[1]))
 	case "tick":
 		return strings.Join(s.p.Tick(s.now), " ")
 	default:
@@ -299,19 +299,19 @@
 }
 
 // list passes a worker's lists to the planner. The items are run:TASK:RUN,
-// end:N:TASK:RUN:HOW and born=N.
+// end:SEQ:TASK:RUN:REASON and incarnation=N.
 func (s *script) list(id string, items []string) {
-	l := Lists{SentMs: s.now.Ms + 1, Born: 1}
+	l := WorkerReport{SentMs: s.now.Ms + 1, Incarnation: 1}
 	for _, it := range items {
 		p := strings.Split(it, ":")
 		switch p[0] {
 		case "run":
 			l.Running = append(l.Running, Running{Task: p[1], Run: int(num(p[2]))})
 		case "end":
-			l.Finished = append(l.Finished, Finished{N: num(p[1]), Task: p[2], Run: int(num(p[3])), How: How(p[4])})
+			l.Finished = append(l.Finished, Finished{Seq: num(p[1]), Task: p[2], Run: int(num(p[3])), Reason: EndReason(p[4])})
 		default:
-			l.Born = num(strings.TrimPrefix(it, "born="))
+			l.Incarnation = num(strings.TrimPrefix(it, "incarnation="))
 		}
 	}
-	s.p.Listed(id, l, s.now)
+	s.p.ApplyReport(id, l, s.now)
 }
--- a/internal/cell/sched/state.go
+++ b/internal/cell/sched/state.go
@@ -26,9 +26,9 @@
 // State is the result of applying the records of the job topic. It depends only
 // on the newest record of each key, so it can be read from a compacted log.
 type State struct {
-	Jobs  map[string]*Job
-	Claim Claim
-	Next  int64 // offset of the next record to apply; set by the caller
+	Jobs       map[string]*Job
+	Claim      Claim
+	NextOffset int64 // offset of the next record to apply; set by the caller
 
 	earlyProgress map[string]Progress // progress records that were applied before their spec, by job
 }
@@ -45,7 +45,7 @@
 		j.firstTask = append(j.firstTask, j.tasksPerOcc)
 		j.tasksPerOcc += s.Count
 	}
-	j.Progress.Tasks = make([]Task, j.tasksPerOcc*max(spec.Times, 1))
+	j.Progress.Tasks = make([]Task, j.tasksPerOcc*max(spec.Occurrences, 1))
 	return j
 }
 
@@ -72,7 +72,7 @@
 
 // Apply applies one record to the state.
 func (s *State) Apply(key string, value []byte) (err error) {
-	defer fault.Note(&err, "record %q", key)
+	defer fault.Annotate(&err, "record %q", key)
 	if key == claimKey {
 		s.Claim, err = frame.Decode[Claim](value)
 		return err
--- a/internal/cell/sched/status.go
+++ b/internal/cell/sched/status.go
@@ -27,7 +27,7 @@
 	case Cancelled:
 		return StatusCancelled, true
 	}
-	if j.Progress.Begun {
+	if j.Progress.RunConfirmed {
 		return StatusRunning, true
 	}
 	return StatusQueued, true
@@ -47,7 +47,7 @@
 func (p *Planner) Pending(queue string) int {
 	n := 0
 	for id, j := range p.state.Jobs {
-		if j.Spec.Queue == queue && p.storedJobs[id] && j.Progress.Verdict == Open && !j.Progress.Begun {
+		if j.Spec.Queue == queue && p.storedJobs[id] && j.Progress.Verdict == Open && !j.Progress.RunConfirmed {
 			n++
 		}
 	}
--- a/internal/cell/sched/types.go
+++ b/internal/cell/sched/types.go
@@ -8,36 +8,36 @@
 
 // Step is one step of a job. It has Count identical tasks.
 type Step struct {
-	Count      int
-	Size       jobs.Size // of each task
-	EstimateMs int64     // declared run time; may be off by up to 90%
-	After      []int     // indexes of the steps that must be done first
-	Saves      bool      // tasks write checkpoints
-	Gang       bool      // tasks start and end together
-	SameRack   bool      // tasks run slower when spread over several racks
-	Needs      string    // label that a worker must have; empty for none
-	Near       string    // rack that holds the data; empty for none
-	Apart      int       // maximum tasks of this step, within one occurrence, on one worker; 0 for no limit
-	Copies     bool      // several runs of one task may be active at once; the planner starts only one
-	Lasts      bool      // tasks run until the job is cancelled
-	Image      string    // tasks of one image have similar run times
-	TargetMs   int64     // tail latency target of a long-running task; not used by the planner
-	Fills      bool      // runs on unallocated CPU: no CPU is allocated for it
-	MayMiss    int       // long-running tasks that may be stopped at the same time; not used by the planner
+	Count           int
+	Size            jobs.Size // of each task
+	EstimateMs      int64     // declared run time; may be off by up to 90%
+	DependsOn       []int     // indexes of the steps that must be done first
+	Checkpoints     bool      // tasks write checkpoints
+	Gang            bool      // tasks start and end together
+	SameRack        bool      // tasks run slower when spread over several racks
+	RequiredLabel   string    // label that a worker must have; empty for none
+	DataRack        string    // rack that holds the data; empty for none
+	MaxPerWorker    int       // maximum tasks of this step, within one occurrence, on one worker; 0 for no limit
+	Speculative     bool      // several runs of one task may be active at once; the planner starts only one
+	LongRunning     bool      // tasks run until the job is cancelled
+	Image           string    // tasks of one image have similar run times
+	LatencyTargetMs int64     // tail latency target of a long-running task; not used by the planner
+	UsesSpareCPU    bool      // runs on unallocated CPU: no CPU is allocated for it
+	MaxUnavailable  int       // long-running tasks that may be stopped at the same time; not used by the planner
 }
 
 // Spec is an accepted job. It is immutable.
 type Spec struct {
-	ID      string
-	Queue   string
-	Team    string
-	Payload string
-	Steps   []Step
-	FirstMs int64 // due time of occurrence 0, in ms since 1970
-	EveryMs int64
-	Times   int   // number of occurrences; 0 for a job that runs once, immediately
-	AtMs    int64 // time of acceptance, in ms since 1970
-	Excess  bool  // submitted in excess of the team's rate
+	ID          string
+	Queue       string
+	Team        string
+	Payload     string
+	Steps       []Step
+	FirstMs     int64 // due time of occurrence 0, in ms since 1970
+	IntervalMs  int64
+	Occurrences int   // number of occurrences; 0 for a job that runs once, immediately
+	AcceptedMs  int64 // time of acceptance, in ms since 1970
+	Excess      bool  // submitted in excess of the team's rate
 }
 
 // TaskState is the stored state of a task.
@@ -53,12 +53,12 @@
 
 // Task is the stored record of one task.
 type Task struct {
-	State    TaskState
-	Run      int    // highest run number used
-	Failures int    // number of failed runs
-	Saved    string // latest checkpoint
-	Worker   string // worker of the latest run
-	Born     int64  // incarnation of that worker
+	State       TaskState
+	LastRun     int    // highest run number used
+	Failures    int    // number of failed runs
+	Checkpoint  string // latest checkpoint
+	Worker      string // worker of the latest run
+	Incarnation int64  // incarnation of that worker
 }
 
 // Verdict is the final state of a job, or Open if the job has not ended.
@@ -75,11 +75,11 @@
 // Progress is the stored state of a job after its acceptance. Each record
 // replaces the previous one.
 type Progress struct {
-	Cancel  bool
-	Verdict Verdict
-	EndMs   int64 // when the verdict was reached, in ms since 1970
-	Tasks   []Task
-	Begun   bool // a worker has confirmed a run
+	Cancel       bool
+	Verdict      Verdict
+	EndMs        int64 // when the verdict was reached, in ms since 1970
+	Tasks        []Task
+	RunConfirmed bool // a worker has confirmed a run
 }
 
 // Claim is the record by which a host becomes the owner of the job topic.
@@ -91,17 +91,17 @@
 
 // Queue is the configuration of a queue.
 type Queue struct {
-	Name      string
-	Host      string      // host name of its requests
-	Prefix    string      // path prefix of its requests; the longest match applies
-	Service   string      // worker pool that runs its tasks
-	Open      bool        // no access key is required
-	Priority  int         // 0 is the highest
-	Attempts  int         // failed runs of one task after which its job fails
-	Slack     float64     // multiplies the run time of a job's critical path to get its deadline
-	TargetMs  int64       // added to the deadline of a job
-	TimeoutMs int64       // not used by the planner
-	Advice    *AdviceCost // nil if starts need no ticket
+	Name        string
+	Host        string      // host name of its requests
+	Prefix      string      // path prefix of its requests; the longest match applies
+	Service     string      // worker pool that runs its tasks
+	Public      bool        // no access key is required
+	Priority    int         // 0 is the highest
+	MaxAttempts int         // failed runs of one task after which its job fails
+	Slack       float64     // multiplies the run time of a job's critical path to get its deadline
+	TargetMs    int64       // added to the deadline of a job
+	TimeoutMs   int64       // not used by the planner
+	Advice      *AdviceCost // nil if starts need no ticket
 }
 
 // AdviceCost describes how long a request to the advice service takes, and how
@@ -117,47 +117,47 @@
 
 // WorkerInfo is the registry entry of a worker.
 type WorkerInfo struct {
-	ID       string
-	Addr     string
-	Service  string // worker pool
-	Az       string
-	Rack     string
-	Labels   []string
-	Capacity jobs.Size
-	Born     int64 // incarnation: time of its start
-	Draining bool
+	ID          string
+	Addr        string
+	Service     string // worker pool
+	Az          string
+	Rack        string
+	Labels      []string
+	Capacity    jobs.Size
+	Incarnation int64 // incarnation: time of its start
+	Draining    bool
 }
 
 // Running is a run that a worker lists as active.
 type Running struct {
-	Task    string
-	Run     int
-	Saved   string
-	Percent int64 // progress as reported by the worker
+	Task       string
+	Run        int
+	Checkpoint string
+	Percent    int64 // progress as reported by the worker
 }
 
-// How is the reason why a run ended.
-type How string
+// EndReason is the reason why a run ended.
+type EndReason string
 
 // Reasons for the end of a run.
 const (
-	EndDone    How = "done"
-	EndFailed  How = "failed"
-	EndStopped How = "stopped"
-	EndLapsed  How = "lapsed" // the lease of the worker expired
-	EndBroken  How = "broken" // another member of the gang ended without success
-	EndAlone   How = "alone"  // the other members of the gang did not start in time
-	EndLost    How = "lost"   // the worker disappeared
+	EndDone           EndReason = "done"
+	EndFailed         EndReason = "failed"
+	EndStopped        EndReason = "stopped"
+	EndLeaseExpired   EndReason = "lapsed" // the lease of the worker expired
+	EndGangBroken     EndReason = "broken" // another member of the gang ended without success
+	EndGangIncomplete EndReason = "alone"  // the other members of the gang did not start in time
+	EndLost           EndReason = "lost"   // the worker disappeared
 )
 
 // Finished is the end of a run. A worker lists it until the owner acknowledges
 // its number.
 type Finished struct {
-	N     int64 // sequence number within one incarnation, from 1
-	Task  string
-	Run   int
-	How   How
-	Saved string
+	Seq        int64 // sequence number within one incarnation, from 1
+	Task       string
+	Run        int
+	Reason     EndReason
+	Checkpoint string
 }
 
 // Ref identifies a task by its job, occurrence, step and index. Unlike jobs.Ref,
--- a/internal/cell/sched/worker.go
+++ b/internal/cell/sched/worker.go
@@ -10,8 +10,8 @@
 type phase uint8
 
 const (
-	phaseIntent        phase = iota // Release has not returned the start yet; nothing was sent
-	phaseSent                       // Release has returned the start; it may have been sent
+	phaseIntent        phase = iota // ReleaseStarts has not returned the start yet; nothing was sent
+	phaseSent                       // ReleaseStarts has returned the start; it may have been sent
 	phaseRunning                    // the worker has confirmed the start or listed the run
 	phaseAdopted                    // placed by a previous owner; the worker has not listed the run yet
 	phaseStopConfirmed              // the worker has confirmed a stop; a later list shows whether the run still exists
@@ -59,7 +59,7 @@
 // demand returns the capacity that is allocated for a task of the step.
 func (s Step) demand() jobs.Size {
 	size := s.Size
-	if s.Fills {
+	if s.UsesSpareCPU {
 		size.CPU = 0
 	}
 	return size
--- a/internal/cell/trust/trust.go
+++ b/internal/cell/trust/trust.go
@@ -18,7 +18,7 @@
 // # Usage
 //
 //	t := trust.New(trust.Config{})
-//	t.Note(trust.End{Worker: "w3", Job: "az1-0.7", OK: false, AtMs: now})
+//	t.Record(trust.End{Worker: "w3", Job: "az1-0.7", OK: false, AtMs: now})
 //	switch t.State("w3", now) { ... }
 package trust
 
@@ -53,7 +53,7 @@
 func (s State) String() string { return [...]string{"trusted", "quarantined", "probing"}[s] }
 
 // End is the end of one attempt. Ends that are no evidence for or against the
-// worker, such as a requested stop, must not be passed to Note.
+// worker, such as a requested stop, must not be passed to Record.
 type End struct {
 	Worker string
 	Job    string
@@ -61,9 +61,9 @@
 	AtMs   int64
 }
 
-// Trust tracks the states of one owner's workers. It is not safe for concurrent
+// Tracker tracks the states of one owner's workers. It is not safe for concurrent
 // use.
-type Trust struct {
+type Tracker struct {
 	cfg     Config
 	workers map[string]*workerRecord
 	recent  []End // ring buffer of the latest ends
@@ -77,8 +77,8 @@
 	untilMs      int64           // end of the current quarantine
 }
 
-// New returns a Trust in which every worker is trusted.
-func New(cfg Config) *Trust {
+// New returns a Tracker in which every worker is trusted.
+func New(cfg Config) *Tracker {
 	if cfg.FailedJobs == 0 {
 		cfg.FailedJobs = defaultFailedJobs
 	}
@@ -88,12 +88,12 @@
 	if cfg.MaxQuarantineMs == 0 {
 		cfg.MaxQuarantineMs = defaultMaxQuarantineMs
 	}
-	return &Trust{cfg: cfg, workers: map[string]*workerRecord{}}
+	return &Tracker{cfg: cfg, workers: map[string]*workerRecord{}}
 }
 
-// Note records one end and reports whether it started or ended a quarantine of
+// Record records one end and reports whether it started or ended a quarantine of
 // its worker.
-func (t *Trust) Note(e End) bool {
+func (t *Tracker) Record(e End) bool {
 	t.addRecent(e)
 	r := t.workers[e.Worker]
 	if r == nil {
@@ -122,7 +122,7 @@
 }
 
 // addRecent adds e to the ring buffer.
-func (t *Trust) addRecent(e End) {
+func (t *Tracker) addRecent(e End) {
 	if len(t.recent) < maxRecentEnds {
 		t.recent = append(t.recent, e)
 		return
@@ -134,7 +134,7 @@
 // othersSucceed reports whether more than half of the recent ends on other trusted
 // workers were successes. It returns false if there are fewer than minOtherEnds of
 // them.
-func (t *Trust) othersSucceed(worker string) bool {
+func (t *Tracker) othersSucceed(worker string) bool {
 	good, all := 0, 0
 	for _, e := range t.recent {
 		if e.Worker == worker || t.workers[e.Worker].quarantineMs > 0 {
@@ -149,7 +149,7 @@
 }
 
 // State returns the state of the worker.
-func (t *Trust) State(worker string, nowMs int64) State {
+func (t *Tracker) State(worker string, nowMs int64) State {
 	r := t.workers[worker]
 	switch {
 	case r == nil || r.quarantineMs == 0:
@@ -160,9 +160,9 @@
 	return Probing
 }
 
-// Distrusted returns the ids of the quarantined and probing workers, in no
+// NotTrusted returns the ids of the quarantined and probing workers, in no
 // particular order.
-func (t *Trust) Distrusted() []string {
+func (t *Tracker) NotTrusted() []string {
 	var list []string
 	for id, r := range t.workers {
 		if r.quarantineMs > 0 {
--- a/internal/cell/trust/trust_test.go
+++ b/internal/cell/trust/trust_test.go
@@ -43,7 +43,7 @@
 		assert.NilError(t, err, line)
 		switch command {
 		case "ok", "fail":
-			tr.Note(End{Worker: worker, Job: arg, OK: command == "ok", AtMs: ms})
+			tr.Record(End{Worker: worker, Job: arg, OK: command == "ok", AtMs: ms})
 		case "state":
 			states++
 			assert.Equal(t, tr.State(worker, ms).String(), arg, line)
--- a/internal/node/entry/admin.go
+++ b/internal/node/entry/admin.go
@@ -18,7 +18,7 @@
 
 // postEdit applies an operator's edit. If another edit of the same base version was
 // applied first, the error is a conflict that names its author.
-func (h *Host) postEdit(r *http.Request) (res config.Result, err error) {
+func (h *Host) postEdit(r *http.Request) (res config.EditResult, err error) {
 	if err := h.checkOperator(r); err != nil {
 		return res, err
 	}
@@ -37,7 +37,7 @@
 	res, err = h.follower.Edit(ctx, e)
 	if err == nil && !res.Accepted {
 		return res, &fault.Error{
-			Code: fault.Conflict, Ran: fault.NotRun, Field: "base", Value: strconv.FormatInt(int64(e.Base), 10),
+			Code: fault.Conflict, Outcome: fault.NotRun, Field: "base", Value: strconv.FormatInt(int64(e.Base), 10),
 			Detail: "object " + e.Object() + " has version " + strconv.FormatInt(int64(res.Version), 10) +
 				", written by " + strconv.Quote(res.Winner),
 		}
@@ -48,12 +48,12 @@
 // ConfigAnswer is the configuration that one host has applied, up to and including the
 // record at Offset. It was last known to be complete AgeMs ago.
 type ConfigAnswer struct {
-	Offset int64                   `json:"offset"`
-	AgeMs  int64                   `json:"ageMs"`
-	Plans  map[string]config.Plan  `json:"plans"`
-	Allows map[string]config.Allow `json:"allows"`
-	Keys   map[string]config.Key   `json:"keys"`
-	Azs    map[string]config.Az    `json:"azs"`
+	Offset int64                       `json:"offset"`
+	AgeMs  int64                       `json:"ageMs"`
+	Plans  map[string]config.Plan      `json:"plans"`
+	Allows map[string]config.AllowList `json:"allows"`
+	Keys   map[string]config.Key       `json:"keys"`
+	Azs    map[string]config.Az        `json:"azs"`
 }
 
 // getConfig returns the configuration to an operator.
@@ -89,10 +89,10 @@
 		return a, err
 	}
 	if _, ok := ref.Job.Group(); !ok {
-		return a, fault.Field("task", req.Task, "must have the form GROUP.NUMBER/INDEX")
+		return a, fault.InvalidField("task", req.Task, "must have the form GROUP.NUMBER/INDEX")
 	}
 	if req.Action != jobs.SettleDone && req.Action != jobs.SettleFailed && req.Action != jobs.SettleRerun {
-		return a, fault.Field("action", req.Action, "must be one of %v", jobs.Actions)
+		return a, fault.InvalidField("action", req.Action, "must be one of %v", jobs.Actions)
 	}
 	j, err := callOwner(r.Context(), h, groupOfJob(ref.Job), wire.Settle,
 		wire.SettleMsg{Ref: ref, Action: req.Action}, (*owner.Group).Settle)
--- a/internal/node/entry/api.go
+++ b/internal/node/entry/api.go
@@ -80,7 +80,7 @@
 // request has no key. It returns an error if the configuration is not fresh or the key
 // is not valid.
 func (h *Host) requestTeam(r *http.Request) (string, error) {
-	if err := h.follower.Fresh(); err != nil {
+	if err := h.follower.CheckFresh(); err != nil {
 		return "", err
 	}
 	key := requestKey(r)
@@ -92,11 +92,11 @@
 
 // checkAllowed returns an error unless the team may use the named queue, service or
 // availability zone; kind is "queue", "service" or "az". The error for config.OpenTeam
-// has the code NoKey.
+// has the code Unauthenticated.
 func (h *Host) checkAllowed(team, kind, name string) error {
-	err := h.follower.State().Allowed(team, kind, name)
+	err := h.follower.State().CheckAllowed(team, kind, name)
 	if err != nil && team == config.OpenTeam {
-		return fault.New(fault.NoKey, fault.NotRun, "%s %q requires a key", kind, name)
+		return fault.New(fault.Unauthenticated, fault.NotRun, "%s %q requires a key", kind, name)
 	}
 	return err
 }
@@ -108,7 +108,7 @@
 		if config.HashSecret(requestKey(r)) == hash {
 			return nil
 		}
-		return fault.New(fault.NoKey, fault.NotRun, "the request requires the operators' key")
+		return fault.New(fault.Unauthenticated, fault.NotRun, "the request requires the operators' key")
 	}
 	host, _, _ := net.SplitHostPort(r.RemoteAddr)
 	if ip := net.ParseIP(host); ip != nil && ip.IsLoopback() {
@@ -144,7 +144,7 @@
 	case !hasHostList:
 		return fault.New(fault.Unavailable, fault.NotRun, "host %q has not read the host list yet", h.settings.Host.ID)
 	}
-	return h.follower.Fresh()
+	return h.follower.CheckFresh()
 }
 
 // Dump is a snapshot of an entry host's state for operators.
--- a/internal/node/entry/bench_test.go
+++ b/internal/node/entry/bench_test.go
@@ -25,7 +25,7 @@
 	c := startTestCell(b, testCellConfig{hosts: 3, workers: 50, appendsPerSecond: 300})
 	c.createTeam("lab", 1_000_000)
 	until(b, "every group has an owner", func() bool {
-		return len((&remote{h: c.hosts[0]}).Duties()) == len(testAzs)
+		return len((&remote{h: c.hosts[0]}).Groups()) == len(testAzs)
 	})
 	const (
 		perSecond = 1000
@@ -70,7 +70,7 @@
 	for b.Loop() {
 		c := startTestCell(b, testCellConfig{hosts: 3, workers: 12})
 		until(b, "every group has an owner", func() bool {
-			return len((&remote{h: c.hosts[0]}).Duties()) == len(testAzs)
+			return len((&remote{h: c.hosts[0]}).Groups()) == len(testAzs)
 		})
 		victim := c.hosts[2]
 		epochs := victim.ownedEpochs()
--- a/internal/node/entry/calls.go
+++ b/internal/node/entry/calls.go
@@ -27,7 +27,7 @@
 	ctx, cancel := context.WithTimeout(r.Context(), timeout)
 	defer cancel()
 	a, err := h.routeCall(ctx, msg)
-	h.metrics.countCall(msg.Service, fault.RanOf(err))
+	h.metrics.countCall(msg.Service, fault.OutcomeOf(err))
 	if err != nil {
 		httpd.WriteError(w, err)
 		return
@@ -61,7 +61,7 @@
 	case "true":
 		msg.Idempotent = true
 	default:
-		return msg, 0, fault.Field(HeaderIdempotent, v, `must be "true" or "false"`)
+		return msg, 0, fault.InvalidField(HeaderIdempotent, v, `must be "true" or "false"`)
 	}
 	if timeout, err = h.callTimeout(r); err != nil {
 		return msg, 0, err
@@ -78,7 +78,7 @@
 	}
 	ms, err := strconv.ParseInt(text, 10, 64)
 	if err != nil || ms < 1 || ms > maxCallTimeout.Milliseconds() {
-		return 0, fault.Field(HeaderTimeout, text, "must lie between 1 and %d", maxCallTimeout.Milliseconds())
+		return 0, fault.InvalidField(HeaderTimeout, text, "must lie between 1 and %d", maxCallTimeout.Milliseconds())
 	}
 	return time.Duration(ms) * time.Millisecond, nil
 }
@@ -96,6 +96,6 @@
 	}
 	msg.Group = name
 	return retryUntilOwner(ctx, func(ctx context.Context) (wire.CallAnswer, error) {
-		return callOwner(ctx, h, name, wire.Once, msg, h.onceLocal)
+		return callOwner(ctx, h, name, wire.CallOnce, msg, h.onceLocal)
 	})
 }
