--- a/internal/node/entry/cell.go
+++ b/internal/node/entry/cell.go
@@ -40,7 +40,7 @@
 	logger    logr.Logger
 	freshFor  time.Duration
 	noSeeds   bool // the settings name no other entry host
-	machine   *config.Machine
+	machine   *config.StateMachine
 
 	mu            sync.Mutex
 	replay        *stream.Replay
@@ -199,9 +199,9 @@
 // State returns the newest configuration.
 func (f *configFollower) State() *config.State { return f.machine.State() }
 
-// Fresh returns an error unless the configuration is fresh, as defined at
+// CheckFresh returns an error unless the configuration is fresh, as defined at
 // configFollower.
-func (f *configFollower) Fresh() error {
+func (f *configFollower) CheckFresh() error {
 	f.mu.Lock()
 	age, ready := f.age(), f.replay.Ready()
 	f.mu.Unlock()
@@ -223,19 +223,19 @@
 	return f.LogAge() > f.freshFor && live > 0 && minLogAge <= f.freshFor
 }
 
-// Change appends a change of grants and waits until a change with the same or a newer
-// fencing token has been applied.
-func (f *configFollower) Change(ctx context.Context, g config.Grants) error {
+// ChangeGrants appends a change of grants and waits until a change with the same or
+// a newer fencing token has been applied.
+func (f *configFollower) ChangeGrants(ctx context.Context, g config.Grants) error {
 	return f.appendRecord(ctx, config.Record{Grants: &g}, func(s *config.State) bool {
-		fence := s.Fences[g.Group]
-		return fence.Epoch > g.Fence.Epoch || fence.Epoch == g.Fence.Epoch && fence.Seq >= g.Fence.Seq
+		token := s.FencingTokens[g.Group]
+		return token.Epoch > g.FencingToken.Epoch || token.Epoch == g.FencingToken.Epoch && token.Seq >= g.FencingToken.Seq
 	})
 }
 
 // Edit appends an operator's edit and returns its result. A retry with the same id
 // returns the first result.
-func (f *configFollower) Edit(ctx context.Context, e config.Edit) (r config.Result, err error) {
-	defer fault.Note(&err, "edit %q", e.ID)
+func (f *configFollower) Edit(ctx context.Context, e config.Edit) (r config.EditResult, err error) {
+	defer fault.Annotate(&err, "edit %q", e.ID)
 	err = f.appendRecord(ctx, config.Record{Edit: &e}, func(s *config.State) bool {
 		_, ok := s.Results[e.ID]
 		return ok
@@ -262,7 +262,7 @@
 	wait := minAppendBackoff
 	for !done(f.State()) {
 		_, err := f.log.Append(ctx, config.Stream, data)
-		mayBeInLog = mayBeInLog || fault.RanOf(err) != fault.NotRun
+		mayBeInLog = mayBeInLog || fault.OutcomeOf(err) != fault.NotRun
 		if err == nil {
 			if f.waitUntil(ctx, done) {
 				return nil
--- a/internal/node/entry/cell_test.go
+++ b/internal/node/entry/cell_test.go
@@ -128,10 +128,10 @@
 }
 
 // edit applies an edit through a host and fails the test if it is rejected.
-func (c *testCell) edit(h *Host, e config.Edit) config.Result {
+func (c *testCell) edit(h *Host, e config.Edit) config.EditResult {
 	c.t.Helper()
 	e.Base = h.follower.State().VersionOf(e.Object())
-	r, err := send[config.Result](h, "", http.MethodPost, "/edits", e)
+	r, err := send[config.EditResult](h, "", http.MethodPost, "/edits", e)
 	assert.NilError(c.t, err)
 	return r
 }
@@ -141,9 +141,9 @@
 func (c *testCell) createTeam(name string, cpu int64) {
 	c.t.Helper()
 	h := c.hosts[len(c.hosts)-1]
-	c.edit(h, config.Edit{ID: name + "-1", Kind: config.SetPlan, Name: name, Share: 1, Limit: jobs.Size{CPU: cpu, Mem: jobs.Unlimited}})
-	c.edit(h, config.Edit{ID: name + "-2", Kind: config.AddAllow, Name: name, Items: []string{"queue:*", "service:*", "az:*"}})
-	c.edit(h, config.Edit{ID: name + "-3", Kind: config.GiveKey, Name: name, Team: name, Secret: config.HashSecret("secret")})
+	c.edit(h, config.Edit{ID: name + "-1", Operation: config.SetPlan, Name: name, Share: 1, Limit: jobs.Size{CPU: cpu, Mem: jobs.Unlimited}})
+	c.edit(h, config.Edit{ID: name + "-2", Operation: config.AddAllow, Name: name, Items: []string{"queue:*", "service:*", "az:*"}})
+	c.edit(h, config.Edit{ID: name + "-3", Operation: config.IssueKey, Name: name, Team: name, SecretHash: config.HashSecret("secret")})
 	until(c.t, "every ready host has applied the key", func() bool {
 		for _, h := range c.hosts {
 			if h.Ready() != nil {
@@ -165,7 +165,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), pollTimeout)
 	defer cancel()
-	return httpd.ExchangeHeader[Resp](ctx, method, h.API()+path, header, req)
+	return httpd.CallWithHeader[Resp](ctx, method, h.API()+path, header, req)
 }
 
 func testSpec(name string, runMs int64) jobs.Spec {
--- a/internal/node/entry/duty.go
+++ b/internal/node/entry/duty.go
@@ -27,7 +27,7 @@
 		eligible := h.eligibleHosts(now)
 		logUnreachable := h.follower.LogUnreachable()
 		for _, lg := range h.allGroups() {
-			lg.g.Want(h.shouldOwn(lg, eligible, logUnreachable, now))
+			lg.g.SetWanted(h.shouldOwn(lg, eligible, logUnreachable, now))
 		}
 	})
 }
--- a/internal/node/entry/entry_test.go
+++ b/internal/node/entry/entry_test.go
@@ -92,8 +92,8 @@
 	base := c.hosts[0].follower.State().VersionOf("plan/lab")
 	for round := range 5 {
 		edits := []config.Edit{
-			{ID: fmt.Sprintf("kim%d", round), By: "kim", Kind: config.SetPlan, Name: "lab", Share: 2, Base: base},
-			{ID: fmt.Sprintf("lee%d", round), By: "lee", Kind: config.SetPlan, Name: "lab", Share: 3, Base: base},
+			{ID: fmt.Sprintf("kim%d", round), By: "kim", Operation: config.SetPlan, Name: "lab", Share: 2, Base: base},
+			{ID: fmt.Sprintf("lee%d", round), By: "lee", Operation: config.SetPlan, Name: "lab", Share: 3, Base: base},
 		}
 		errs := make([]error, len(edits))
 		var wg sync.WaitGroup
@@ -101,7 +101,7 @@
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				_, errs[i] = send[config.Result](c.hosts[i], "", http.MethodPost, "/edits", e)
+				_, errs[i] = send[config.EditResult](c.hosts[i], "", http.MethodPost, "/edits", e)
 			}()
 		}
 		wg.Wait()
@@ -113,7 +113,7 @@
 		loser := fault.From(errs[1-winner])
 		assert.Equal(t, loser.Code, fault.Conflict)
 		assert.Assert(t, strings.Contains(loser.Detail, edits[winner].By), loser.Detail)
-		again, err := send[config.Result](c.hosts[1-winner], "", http.MethodPost, "/edits", edits[winner])
+		again, err := send[config.EditResult](c.hosts[1-winner], "", http.MethodPost, "/edits", edits[winner])
 		assert.NilError(t, err)
 		assert.Assert(t, again.Accepted)
 		base = again.Version
@@ -173,7 +173,7 @@
 	}
 	until(t, "the limit is reached", func() bool { return running(c) == 6 })
 	c.edit(c.hosts[0], config.Edit{
-		ID: "lower", Kind: config.SetPlan, Name: "lab", Share: 1, Limit: jobs.Size{CPU: 2000, Mem: jobs.Unlimited},
+		ID: "lower", Operation: config.SetPlan, Name: "lab", Share: 1, Limit: jobs.Size{CPU: 2000, Mem: jobs.Unlimited},
 	})
 	lowered := time.Now()
 	until(t, "the running tasks meet the lower limit", func() bool { return running(c) <= 2 })
@@ -265,7 +265,7 @@
 // host's configuration counts as fresh.
 func TestFreshness(t *testing.T) {
 	c := startTestCell(t, testCellConfig{hosts: 3, workers: 3, timing: "freshFor = 300ms\nsuspectAfter = 900ms\ngossip = 50ms"})
-	fresh := func(i int) bool { return c.hosts[i].follower.Fresh() == nil }
+	fresh := func(i int) bool { return c.hosts[i].follower.CheckFresh() == nil }
 	// holds waits until ok is true and checks that it stays true for 400 ms.
 	holds := func(what string, ok func() bool) {
 		t.Helper()
@@ -307,16 +307,16 @@
 	until(t, "the disconnected host is not ready", func() bool { return c.hosts[0].Ready() != nil })
 	_, err := send[jobs.Job](c.hosts[0], "lab.secret", http.MethodPost, "/jobs", testSpec("survey", 10))
 	assert.Equal(t, fault.From(err).Code, fault.Unavailable)
-	assert.Equal(t, fault.RanOf(err), fault.NotRun)
-	c.edit(c.hosts[1], config.Edit{ID: "out", Kind: config.WithdrawKey, Name: "lab"})
+	assert.Equal(t, fault.OutcomeOf(err), fault.NotRun)
+	c.edit(c.hosts[1], config.Edit{ID: "out", Operation: config.RevokeKey, Name: "lab"})
 	until(t, "the withdrawn key is rejected", func() bool {
 		_, err := send[jobs.Job](c.hosts[2], "lab.secret", http.MethodPost, "/jobs", testSpec("survey", 10))
-		return fault.Is(err, fault.Denied)
+		return fault.HasCode(err, fault.Denied)
 	})
 	disconnect(c, 0, false)
 	until(t, "the host receives the configuration from its peers without the log", func() bool {
 		_, err := c.hosts[0].follower.State().TeamOfKey("lab.secret")
-		return fault.Is(err, fault.Denied) && c.hosts[0].Ready() == nil
+		return fault.HasCode(err, fault.Denied) && c.hosts[0].Ready() == nil
 	})
 	assert.Equal(t, len(c.fleet.Runs()), 0)
 }
@@ -348,8 +348,8 @@
 func disconnect(c *testCell, i int, on bool) {
 	for j, h := range c.hosts {
 		if j != i {
-			h.Cut(c.hosts[i].Peer(), on)
-			c.hosts[i].Cut(h.Peer(), on)
+			h.SetBlocked(c.hosts[i].Peer(), on)
+			c.hosts[i].SetBlocked(h.Peer(), on)
 		}
 	}
 }
--- a/internal/node/entry/group.go
+++ b/internal/node/entry/group.go
@@ -37,7 +37,7 @@
 func homeGroup(names []string, team, id string) string {
 	var best string
 	var bestHash uint64
-	key := group.SubKey(team, id)
+	key := group.RequestKey(team, id)
 	for _, name := range names {
 		if hash := xxhash.Sum64String(key + "\x00" + name); best == "" || hash > bestHash {
 			best, bestHash = name, hash
--- a/internal/node/entry/host.go
+++ b/internal/node/entry/host.go
@@ -90,7 +90,7 @@
 
 // Start opens the listeners and starts the loops that join the cell.
 func Start(cfg Config) (h *Host, err error) {
-	defer fault.Note(&err, "start entry host %q", cfg.Settings.Host.ID)
+	defer fault.Annotate(&err, "start entry host %q", cfg.Settings.Host.ID)
 	settings := cfg.Settings
 	if cfg.Clock == nil {
 		cfg.Clock = clock.System{}
@@ -137,7 +137,7 @@
 		ForgetAfter:            forgetAfter,
 		MinDescriptionInterval: minDescriptionInterval,
 	})
-	machine := config.NewMachine()
+	machine := config.NewStateMachine()
 	h.follower = &configFollower{
 		log: h.cfg.Log, table: h.table, peerConns: h.peerConns, clock: h.clock, logger: h.log, freshFor: h.settings.Timing.FreshFor,
 		noSeeds: len(h.settings.Host.Peers) == 0,
@@ -256,10 +256,10 @@
 }
 
 // groupInfos returns the descriptions of the groups that this host owns.
-func (h *Host) groupInfos() []wire.Duty {
-	var groups []wire.Duty
+func (h *Host) groupInfos() []wire.GroupInfo {
+	var groups []wire.GroupInfo
 	for _, lg := range h.allGroups() {
-		if d, ok := lg.g.Duty(); ok {
+		if d, ok := lg.g.Info(); ok {
 			groups = append(groups, d)
 		}
 	}
@@ -321,7 +321,7 @@
 func (h *Host) startGroup(name, az string) *localGroup {
 	ctx, cancel := context.WithCancel(context.Background())
 	g := owner.New(owner.Config{
-		Name: name, Az: az, Self: group.Holder{Host: h.settings.Host.ID, Addr: h.peerServer.Addr()},
+		Name: name, Az: az, Self: group.Owner{Host: h.settings.Host.ID, Addr: h.peerServer.Addr()},
 		Log: h.cfg.Log, Cell: h.follower, Remote: &remote{h: h}, Clock: h.clock, Logger: h.cfg.Logger,
 		Timing: h.settings.groupTiming(), Policy: h.cfg.Policy,
 		Dial: func(w hosts.Worker) worker.Worker {
@@ -344,7 +344,7 @@
 	runEvery(ctx, snapshotCheckInterval, func(ctx context.Context) {
 		now := h.clock.Now()
 		records := h.follower.recordsSinceSnapshot()
-		due := records >= h.settings.groupTiming().SnapshotAt || records > 0 && now.Sub(last) >= h.settings.Timing.Snapshot
+		due := records >= h.settings.groupTiming().SnapshotRecords || records > 0 && now.Sub(last) >= h.settings.Timing.Snapshot
 		live := h.table.Live(now)
 		if !due || len(live) == 0 || live[0].ID != h.settings.Host.ID {
 			return
@@ -387,7 +387,7 @@
 // finishes the requests in flight and closes. It returns an error if ctx ends
 // before all HTTP requests have finished. Unfinished requests of peers cause no error.
 func (h *Host) Stop(ctx context.Context) (err error) {
-	defer fault.Note(&err, "stop entry host %q", h.settings.Host.ID)
+	defer fault.Annotate(&err, "stop entry host %q", h.settings.Host.ID)
 	h.mu.Lock()
 	h.leaving = true
 	h.mu.Unlock()
@@ -472,6 +472,6 @@
 	}
 }
 
-// Cut blocks the connection from this host to a peer's address if on is true, and
-// unblocks it otherwise. Tests use it to simulate network failures.
-func (h *Host) Cut(addr string, on bool) { h.peerConns.Cut(addr, on) }
+// SetBlocked blocks the connection from this host to a peer's address if on is
+// true, and unblocks it otherwise. Tests use it to simulate network failures.
+func (h *Host) SetBlocked(addr string, on bool) { h.peerConns.SetBlocked(addr, on) }
--- a/internal/node/entry/jobs.go
+++ b/internal/node/entry/jobs.go
@@ -71,7 +71,7 @@
 	if spec.Kind == jobs.Gang {
 		need = spec.Total()
 	}
-	if !need.Fits(limit) {
+	if !need.FitsIn(limit) {
 		return infeasibleError("size", need, "exceeds the limit of team "+spec.Team+", "+limit.String())
 	}
 	return h.checkFeasible(spec)
@@ -79,7 +79,7 @@
 
 // infeasibleError returns an error for a job that can never run because of the given field.
 func infeasibleError(field string, value jobs.Size, detail string) error {
-	return &fault.Error{Code: fault.Infeasible, Ran: fault.NotRun, Field: field, Value: value.String(), Detail: detail}
+	return &fault.Error{Code: fault.Infeasible, Outcome: fault.NotRun, Field: field, Value: value.String(), Detail: detail}
 }
 
 // checkFeasible returns an error if no worker in the host list is large enough for a
@@ -91,7 +91,7 @@
 		return fault.New(fault.Unavailable, fault.NotRun, "this host has not read the host list yet").WithRetryAfter(1)
 	}
 	for _, w := range h.hostList.Workers {
-		fits := spec.Size.Fits(jobs.Size{CPU: w.CPU, Mem: w.Mem, Accel: w.Accel})
+		fits := spec.Size.FitsIn(jobs.Size{CPU: w.CPU, Mem: w.Mem, Accel: w.Accel})
 		if fits && (spec.Az == "" || spec.Az == w.Az) {
 			return nil
 		}
@@ -125,7 +125,7 @@
 func jobID(r *http.Request) (jobs.ID, error) {
 	id := jobs.ID(pathvar.Vars(r)["id"])
 	if _, ok := id.Group(); !ok {
-		return "", fault.Field("id", id, "must have the form GROUP.NUMBER")
+		return "", fault.InvalidField("id", id, "must have the form GROUP.NUMBER")
 	}
 	return id, nil
 }
@@ -139,7 +139,7 @@
 	}
 	n, err := strconv.ParseInt(text, 10, 64)
 	if err != nil || n < 0 || n > limit {
-		return 0, fault.Field(name, text, "must lie between 0 and %d", limit)
+		return 0, fault.InvalidField(name, text, "must lie between 0 and %d", limit)
 	}
 	return n, nil
 }
--- a/internal/node/entry/metrics.go
+++ b/internal/node/entry/metrics.go
@@ -134,7 +134,7 @@
 		emit(descPending, prometheus.GaugeValue, float64(d.Pending))
 		emit(descCommits, prometheus.CounterValue, float64(d.Stats.Commits))
 		emit(descStarts, prometheus.CounterValue, float64(d.Stats.Starts))
-		emit(descTakeovers, prometheus.CounterValue, float64(d.Stats.Takeover))
+		emit(descTakeovers, prometheus.CounterValue, float64(d.Stats.Takeovers))
 		emit(descLostWorkers, prometheus.GaugeValue, float64(lost))
 	}
 }
--- a/internal/node/entry/remote.go
+++ b/internal/node/entry/remote.go
@@ -29,7 +29,7 @@
 	ctx context.Context, h *Host, name string, m frame.Method[Req, Resp], req Req,
 	local func(*owner.Group, context.Context, Req) (Resp, error),
 ) (resp Resp, err error) {
-	defer fault.Note(&err, "group %q", name)
+	defer fault.Annotate(&err, "group %q", name)
 	if g := h.ownedGroup(name); g != nil {
 		return local(g, ctx, req)
 	}
@@ -71,9 +71,9 @@
 	return wire.Empty{}, g.Stop(ctx, msg)
 }
 
-// Where implements owner.Remote.
-func (r *remote) Where(ctx context.Context, msg wire.WhereMsg) (wire.WhereAnswer, error) {
-	return callOwner(ctx, r.h, msg.Group, wire.Where, msg, (*owner.Group).Where)
+// AttemptStatus implements owner.Remote.
+func (r *remote) AttemptStatus(ctx context.Context, msg wire.AttemptStatusMsg) (wire.AttemptStatusAnswer, error) {
+	return callOwner(ctx, r.h, msg.Group, wire.AttemptStatus, msg, (*owner.Group).AttemptStatus)
 }
 
 // Report implements owner.Remote.
@@ -81,9 +81,9 @@
 	return callOwner(ctx, r.h, msg.Group, wire.Report, msg, (*owner.Group).Report)
 }
 
-// Duties returns the descriptions of the groups that live hosts own.
-func (r *remote) Duties() []wire.Duty {
-	var groups []wire.Duty
+// Groups returns the descriptions of the groups that live hosts own.
+func (r *remote) Groups() []wire.GroupInfo {
+	var groups []wire.GroupInfo
 	for _, m := range r.h.table.Live(r.h.clock.Now()) {
 		groups = append(groups, m.Groups...)
 	}
@@ -93,9 +93,9 @@
 // MayClaim implements owner.Remote. It records the holder and epoch of the newest claim
 // that the group has read from its stream, and reports whether the group has no owner
 // that other hosts must wait for.
-func (r *remote) MayClaim(name string, epoch uint64, holder group.Holder) bool {
+func (r *remote) MayClaim(name string, epoch uint64, owner group.Owner) bool {
 	now := r.h.clock.Now()
-	r.h.table.RecordClaim(name, peers.Owner{Host: holder.Host, Addr: holder.Addr, Epoch: epoch}, now)
+	r.h.table.RecordClaim(name, peers.Owner{Host: owner.Host, Addr: owner.Addr, Epoch: epoch}, now)
 	return !r.h.hasOwner(name, r.h.eligibleHosts(now), now)
 }
 
@@ -112,7 +112,7 @@
 	defer cancel()
 	for {
 		v, err = fn(ctx)
-		if err == nil || fault.RanOf(err) != fault.NotRun || !ownerUnreachable(err) {
+		if err == nil || fault.OutcomeOf(err) != fault.NotRun || !ownerUnreachable(err) {
 			return v, err
 		}
 		select {
@@ -125,7 +125,7 @@
 
 // ownerUnreachable reports whether err may mean that the owner could not be reached.
 func ownerUnreachable(err error) bool {
-	return fault.Is(err, fault.NotOwner) || fault.Is(err, fault.Unavailable)
+	return fault.HasCode(err, fault.NotOwner) || fault.HasCode(err, fault.Unavailable)
 }
 
 // registerHandlers registers the methods that peers call.
@@ -145,9 +145,9 @@
 	handleOwned(h, wire.Reserve, func(m wire.ReserveMsg) string { return m.Group }, (*owner.Group).Reserve)
 	handleOwned(h, wire.Start, func(m wire.StartMsg) string { return m.Group }, (*owner.Group).Start)
 	handleOwned(h, wire.Stop, func(m wire.StopMsg) string { return m.Group }, stopLocal)
-	handleOwned(h, wire.Where, func(m wire.WhereMsg) string { return m.Group }, (*owner.Group).Where)
+	handleOwned(h, wire.AttemptStatus, func(m wire.AttemptStatusMsg) string { return m.Group }, (*owner.Group).AttemptStatus)
 	handleOwned(h, wire.Report, func(m wire.ReportMsg) string { return m.Group }, (*owner.Group).Report)
-	handleOwned(h, wire.Once, func(m wire.CallMsg) string { return m.Group }, h.onceLocal)
+	handleOwned(h, wire.CallOnce, func(m wire.CallMsg) string { return m.Group }, h.onceLocal)
 	// Serve needs no owner: calls continue while the log is unavailable.
 	frame.Handle(s, wire.Serve, h.serveLocal)
 }
@@ -196,7 +196,7 @@
 }
 
 func (h *Host) onceLocal(g *owner.Group, ctx context.Context, m wire.CallMsg) (wire.CallAnswer, error) {
-	return g.Once(ctx, m, dispatcher{h.router})
+	return g.CallOnce(ctx, m, dispatcher{h.router})
 }
 
 // dispatcher sends calls through the router as not idempotent, so that the router
--- a/internal/node/entry/settings.go
+++ b/internal/node/entry/settings.go
@@ -104,7 +104,7 @@
 // groupTiming returns the timing of groups: the defaults, overridden by the settings.
 func (s Settings) groupTiming() owner.Timing {
 	t := owner.DefaultTiming()
-	t.Commit, t.Renew, t.Lease, t.Margin = s.Timing.Commit, s.Timing.Renew, s.Timing.Lease, s.Timing.Margin
-	t.Keep, t.Snapshot = s.Timing.Keep, s.Timing.Snapshot
+	t.CommitInterval, t.RenewWait, t.Lease, t.ClockMargin = s.Timing.Commit, s.Timing.Renew, s.Timing.Lease, s.Timing.Margin
+	t.Retention, t.SnapshotInterval = s.Timing.Keep, s.Timing.Snapshot
 	return t
 }
--- a/internal/node/gate/advise.go
+++ b/internal/node/gate/advise.go
@@ -53,12 +53,12 @@
 	return list
 }
 
-// Idle reports whether any host is free.
-func (d *adviceHosts) Idle() bool { return len(d.available(false)) > 0 }
+// Available reports whether any host is free.
+func (d *adviceHosts) Available() bool { return len(d.available(false)) > 0 }
 
-// Take marks the last free host as busy. The last hosts serve only short requests,
+// Reserve marks the last free host as busy. The last hosts serve only short requests,
 // so a short request leaves the other hosts free for long ones.
-func (d *adviceHosts) Take(costMs float64) (string, bool) {
+func (d *adviceHosts) Reserve(costMs float64) (string, bool) {
 	list := d.available(costMs > longRequestMs)
 	if len(list) == 0 {
 		return "", false
@@ -83,16 +83,16 @@
 // Advise sends a request through the host marked busy for it and releases that host.
 // The returned age assumes that the service took w.CostMs to answer. It is 0 for a
 // request sent by this host.
-func (d *adviceHosts) Advise(ctx context.Context, w sched.Want) (a ports.Advice, age time.Duration, err error) {
-	defer func() { d.release(w.Desk, err == nil) }()
+func (d *adviceHosts) Advise(ctx context.Context, w sched.AdviceRequest) (a ports.Advice, age time.Duration, err error) {
+	defer func() { d.release(w.Host, err == nil) }()
 	h := d.host
 	msg := adviseMsg{Step: w.Step, Workers: w.Workers}
-	if w.Desk == h.addr {
+	if w.Host == h.addr {
 		b, err := h.serveAdvise(ctx, msg)
 		return b.Advice, 0, err
 	}
 	sent := h.clock.Now()
-	b, err := frame.Call(ctx, h.pool, w.Desk, adviseMethod, msg)
+	b, err := frame.Call(ctx, h.pool, w.Host, adviseMethod, msg)
 	sinceAnswer := h.clock.Now().Sub(sent) - time.Duration(w.CostMs)*time.Millisecond
 	return b.Advice, min(max(sinceAnswer, 0), maxAnswerAge), err
 }
--- a/internal/node/gate/front.go
+++ b/internal/node/gate/api.go
@@ -40,7 +40,7 @@
 	status := h.reply(w, c, a, err)
 	h.metrics.observeRequest(c.Kind, status, h.clock.Now().Sub(startedAt))
 	if err != nil && c.Kind != callStatus && c.Kind != callPending {
-		h.log.Info("refused", "job", c.ID, "status", status, "err", err.Error(), "site", c.SiteNext)
+		h.log.Info("refused", "job", c.ID, "status", status, "err", err.Error(), "site", c.ConfigNext)
 	}
 }
 
@@ -60,17 +60,17 @@
 
 // parseCall validates a client request and converts it to a call to the owner.
 func (h *Host) parseCall(r *http.Request) (c callMsg, err error) {
-	if !h.site.ready() {
+	if !h.config.ready() {
 		return c, fault.New(fault.Unavailable, fault.NotRun, "no configuration is known yet").WithRetryAfter(retryAfterSeconds)
 	}
-	c.SiteNext = h.site.offset()
-	q, ok := h.site.route(r.Host, r.URL.Path)
+	c.ConfigNext = h.config.offset()
+	q, ok := h.config.route(r.Host, r.URL.Path)
 	if !ok {
 		return c, fault.New(fault.NotFound, fault.NotRun, "no queue at %s%s", r.Host, r.URL.Path)
 	}
-	team, ok := h.site.team(h.cfg.Codec.Key(r.Header))
-	if !ok && !q.Open {
-		return c, fault.New(fault.NoKey, fault.NotRun, "the key is not known")
+	team, ok := h.config.team(h.cfg.Codec.Key(r.Header))
+	if !ok && !q.Public {
+		return c, fault.New(fault.Unauthenticated, fault.NotRun, "the key is not known")
 	}
 	c.Queue = q.Name
 	c.ID = strings.ToLower(strings.TrimPrefix(r.URL.Path, q.Prefix))
@@ -90,20 +90,20 @@
 		c.Kind = callSubmit
 		return h.parseSubmission(r, c, team)
 	default:
-		return c, fault.Field("method", r.Method, "must be GET, POST or DELETE")
+		return c, fault.InvalidField("method", r.Method, "must be GET, POST or DELETE")
 	}
 	return c, nil
 }
 
 // parseSubmission reads and decodes the body of a job submission.
 func (h *Host) parseSubmission(r *http.Request, c callMsg, team string) (callMsg, error) {
-	limit := h.site.limits().BodyBytes
+	limit := h.config.limits().BodyBytes
 	if limit <= 0 {
 		limit = defaultBodyLimit
 	}
 	body, err := io.ReadAll(io.LimitReader(r.Body, limit+1))
 	if err != nil {
-		return c, fault.Field("body", "", "failed to read: %v", err)
+		return c, fault.InvalidField("body", "", "failed to read: %v", err)
 	}
 	if int64(len(body)) > limit {
 		return c, fault.New(fault.TooLarge, fault.NotRun, "the body exceeds the limit of %d bytes", limit)
@@ -112,7 +112,7 @@
 	if err != nil {
 		return c, err
 	}
-	c.Spec.Queue, c.Spec.Team, c.Spec.AtMs = c.Queue, team, h.clock.Now().UnixMilli()
+	c.Spec.Queue, c.Spec.Team, c.Spec.AcceptedMs = c.Queue, team, h.clock.Now().UnixMilli()
 	return c, nil
 }
 
@@ -132,7 +132,7 @@
 		if err == nil || !retryable(e) {
 			return a, err
 		}
-		mayHaveRun = mayHaveRun || e.Ran != fault.NotRun
+		mayHaveRun = mayHaveRun || e.Outcome != fault.NotRun
 		h.mu.Lock()
 		ownerCh := h.ownerCh
 		h.mu.Unlock()
--- a/internal/node/gate/claim.go
+++ b/internal/node/gate/claim.go
@@ -71,7 +71,7 @@
 	if h.localOwner != nil || h.replica.inUse {
 		return false
 	}
-	return isStandby(peer{addr: h.addr, cpuMillicores: h.cfg.Power}, h.owner.addr, h.peerList(), justStarted, h.clock.Now())
+	return isStandby(peer{addr: h.addr, cpuMillis: h.cfg.CPUMillis}, h.owner.addr, h.peerList(), justStarted, h.clock.Now())
 }
 
 // syncReplica brings the replica up to date and, if its last claim has a higher
@@ -86,12 +86,12 @@
 	}
 	r.inUse = true
 	h.mu.Unlock()
-	before := r.state.Next
+	before := r.state.NextOffset
 	err = h.readRecords(ctx, r, -1)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	r.inUse = false
-	if r.state.Next > before {
+	if r.state.NextOffset > before {
 		r.lastGrowth = h.clock.Now()
 	}
 	if c := r.state.Claim; c.Epoch > h.owner.epoch {
@@ -121,14 +121,14 @@
 // readRecords applies records at least up to offset upTo, or up to the end of the
 // topic if upTo is negative.
 func (h *Host) readRecords(ctx context.Context, r *replica, upTo int64) error {
-	if r.state.Next == 0 {
+	if r.state.NextOffset == 0 {
 		if err := h.readNewest(ctx, r); err != nil {
 			return err
 		}
 	}
 	for {
 		rctx, cancel := context.WithTimeout(ctx, storeCallTimeout)
-		page, err := h.store.Read(rctx, ports.ReadRequest{Topic: h.cfg.JobTopic, From: r.state.Next})
+		page, err := h.store.Read(rctx, ports.ReadRequest{Topic: h.cfg.JobTopic, From: r.state.NextOffset})
 		cancel()
 		var gone *ports.GoneError
 		if errors.As(err, &gone) {
@@ -140,7 +140,7 @@
 		if err != nil {
 			return err
 		}
-		if r.state.Next < page.First {
+		if r.state.NextOffset < page.First {
 			if err := h.readNewest(ctx, r); err != nil {
 				return err
 			}
@@ -148,9 +148,9 @@
 		}
 		for _, rec := range page.Records {
 			h.applyRecord(r.state, rec)
-			r.state.Next = rec.Offset + 1
+			r.state.NextOffset = rec.Offset + 1
 		}
-		if len(page.Records) == 0 || r.state.Next >= page.End || upTo >= 0 && r.state.Next > upTo {
+		if len(page.Records) == 0 || r.state.NextOffset >= page.End || upTo >= 0 && r.state.NextOffset > upTo {
 			return nil
 		}
 	}
@@ -168,7 +168,7 @@
 	for _, rec := range all {
 		h.applyRecord(s, rec)
 	}
-	s.Next = end
+	s.NextOffset = end
 	r.state = s
 	return nil
 }
@@ -203,7 +203,7 @@
 	}
 	now := h.clock.Now()
 	e := election{
-		self: h.addr, cpuMillicores: h.cfg.Power, now: now, ownerSilence: now.Sub(h.owner.lastContact), claimRequested: h.claimRequested,
+		self: h.addr, cpuMillis: h.cfg.CPUMillis, now: now, ownerSilence: now.Sub(h.owner.lastContact), claimRequested: h.claimRequested,
 		topicGrows: now.Sub(h.replica.lastGrowth) < 2*replicaSyncInterval+claimStagger,
 	}
 	if h.owner.addr == "" || h.owner.addr == h.addr {
@@ -233,7 +233,7 @@
 	}
 	peers := h.peerList()
 	h.mu.Unlock()
-	if addr, ok := strongerPeer(h.cfg.Power, peers, now); ok {
+	if addr, ok := strongerPeer(h.cfg.CPUMillis, peers, now); ok {
 		h.transferOwnership(ctx, []string{addr}, "handing over to a more powerful host")
 	}
 }
@@ -283,7 +283,7 @@
 	if err != nil {
 		return 0, err
 	}
-	req := ports.AppendRequest{Topic: h.cfg.JobTopic, Writer: lead.Writer, Epoch: c.Epoch, Records: []ports.Record{{Key: key, Value: value}}}
+	req := ports.AppendRequest{Topic: h.cfg.JobTopic, Writer: lead.JobTopicWriter, Epoch: c.Epoch, Records: []ports.Record{{Key: key, Value: value}}}
 	for try := 0; try < claimTries && ctx.Err() == nil; try++ {
 		actx, cancel := context.WithTimeout(ctx, storeCallTimeout)
 		offset, err = h.store.Append(actx, req)
@@ -301,8 +301,8 @@
 func (h *Host) startOwner(c sched.Claim, s *sched.State) {
 	o := lead.Start(lead.Config{
 		Claim: c, JobTopic: h.cfg.JobTopic, State: s, Store: h.store, Workers: h.cfg.Workers, AdviceClient: h.adviceHosts,
-		WorkerTopic: h.cfg.WorkerTopic, ParseWorker: h.cfg.ParseWorker, WorkerID: h.cfg.WorkerID, View: h.site.view(),
-		Clock: h.clock, Logger: h.cfg.Logger, Metrics: h.leadMetrics, KeepMs: h.cfg.KeepMs, LeaseMax: h.cfg.LeaseMax,
+		WorkerTopic: h.cfg.WorkerTopic, ParseWorker: h.cfg.ParseWorker, WorkerID: h.cfg.WorkerID, Policy: h.config.policy(),
+		Clock: h.clock, Logger: h.cfg.Logger, Metrics: h.leadMetrics, RetentionMs: h.cfg.RetentionMs, MaxLeaseMs: h.cfg.MaxLeaseMs,
 	})
 	h.localOwner = o
 	h.ownerSince = h.clock.Now()
--- a/internal/node/gate/cluster_test.go
+++ b/internal/node/gate/cluster_test.go
@@ -29,7 +29,7 @@
 type cluster struct {
 	t         *testing.T
 	store     *fakes.Store
-	farm      *fakes.Farm
+	fleet     *fakes.SimFleet
 	hosts     []*Host
 	ports     []int
 	stop      chan struct{}
@@ -40,14 +40,14 @@
 var testCodec = Codec{
 	Job: func(id string, body []byte) (s sched.Spec, err error) {
 		if err := json.Unmarshal(body, &s); err != nil {
-			return s, fault.Field("body", "", "not a job: %v", err)
+			return s, fault.InvalidField("body", "", "not a job: %v", err)
 		}
 		s.ID = id
 		return s, nil
 	},
 	JobID: func(id string) error {
 		if len(id) > 8 {
-			return fault.Field("id", id, "must have at most 8 bytes")
+			return fault.InvalidField("id", id, "must have at most 8 bytes")
 		}
 		return nil
 	},
@@ -59,25 +59,25 @@
 
 // workerClient connects hosts to the fake workers in real time.
 type workerClient struct {
-	farm      *fakes.Farm
+	fleet     *fakes.SimFleet
 	startedAt time.Time
 }
 
 func (w workerClient) nowMs() int64 { return time.Since(w.startedAt).Milliseconds() + 1 }
 
 func (w workerClient) Start(_ context.Context, o ports.StartOrder) (int64, error) {
-	return w.farm.StartAt(o, w.nowMs())
+	return w.fleet.StartAt(o, w.nowMs())
 }
 
 func (w workerClient) Stop(_ context.Context, o ports.StopOrder) error {
-	return w.farm.StopAt(o, w.nowMs())
+	return w.fleet.StopAt(o, w.nowMs())
 }
 
-func (w workerClient) Hold(ctx context.Context, r ports.HoldRequest) (ports.HoldAnswer, error) {
+func (w workerClient) Heartbeat(ctx context.Context, r ports.HeartbeatRequest) (ports.HeartbeatResponse, error) {
 	if r.Wait > 0 {
 		clock.Sleep(ctx, 20*time.Millisecond)
 	}
-	return w.farm.HoldAt(r, w.nowMs())
+	return w.fleet.HeartbeatAt(r, w.nowMs())
 }
 
 // adviser is an advice service that allows every worker.
@@ -101,19 +101,19 @@
 func newCluster(t *testing.T, n int) *cluster {
 	c := &cluster{
 		t: t, store: fakes.NewStore(1), stop: make(chan struct{}), startedAt: time.Now(),
-		farm: fakes.NewFarm(fakes.FarmConfig{
+		fleet: fakes.NewSimFleet(fakes.SimFleetConfig{
 			Workers: 4, Capacity: jobs.Size{CPU: 8_000, Mem: 8_000}, Rack: 2, Azs: []string{"x", "y"}, Service: "s", Seed: 1,
 		}),
 	}
-	site, err := json.Marshal(ports.Site{
+	config, err := json.Marshal(ports.ClusterConfig{
 		Version: 3, Queues: []sched.Queue{
-			{Name: "q", Host: "h.example", Prefix: "/q/", Service: "s", Attempts: 3, Slack: 2, TargetMs: 500, Advice: &sched.AdviceCost{BaseMs: 1, ValidMs: 2000}},
+			{Name: "q", Host: "h.example", Prefix: "/q/", Service: "s", MaxAttempts: 3, Slack: 2, TargetMs: 500, Advice: &sched.AdviceCost{BaseMs: 1, ValidMs: 2000}},
 		},
 		Teams: []ports.Team{{Name: "t", Keys: []string{"k"}, Weight: 100}},
 	})
 	assert.NilError(t, err)
-	c.store.Put("op", "config", site)
-	for _, w := range c.farm.Entries() {
+	c.store.Put("op", "config", config)
+	for _, w := range c.fleet.Entries() {
 		data, err := json.Marshal(w)
 		assert.NilError(t, err)
 		c.store.Put("workers", w.ID, data)
@@ -145,11 +145,11 @@
 func (c *cluster) start(i int) {
 	h, err := Start(Config{
 		Host: fmt.Sprintf("h%d", i), IP: "127.0.0.1", Az: "x", Listen: "127.0.0.1:0", Ready: "127.0.0.1:0", ReadyPath: "/up",
-		PeerPort: c.ports[i], Power: 400,
-		Store: c.store.For(fmt.Sprint(i)), Workers: workerClient{c.farm, c.startedAt}, Adviser: &adviser{}, Codec: testCodec,
+		PeerPort: c.ports[i], CPUMillis: 400,
+		Store: c.store.For(fmt.Sprint(i)), Workers: workerClient{c.fleet, c.startedAt}, Adviser: &adviser{}, Codec: testCodec,
 		OperatorTopic: "op", WorkerTopic: "workers", JobTopic: "jobs", HostTopic: "hosts",
-		ParseSite: func(b []byte) (s ports.Site, err error) { return s, json.Unmarshal(b, &s) },
-		ParseOperator: func(key string) ports.OperatorKey {
+		ParseConfig: func(b []byte) (s ports.ClusterConfig, err error) { return s, json.Unmarshal(b, &s) },
+		ParseOperatorKey: func(key string) ports.OperatorKey {
 			az, ok := strings.CutPrefix(key, "out/")
 			if !ok {
 				az = ""
@@ -158,7 +158,7 @@
 		},
 		ParseWorker: func(_ string, b []byte) (w sched.WorkerInfo, err error) { return w, json.Unmarshal(b, &w) },
 		WorkerID:    func(key string) string { return key },
-		KeepMs:      60_000, LeaseMax: fakes.HoldMaxMs, Logger: logs.Discard(),
+		RetentionMs: 60_000, MaxLeaseMs: fakes.MaxLeaseMs, Logger: logs.Discard(),
 	})
 	assert.NilError(c.t, err)
 	c.hosts[i] = h
@@ -206,7 +206,7 @@
 // submit submits a job to host i and returns the HTTP status.
 func (c *cluster) submit(i int, id string, ms int64) int {
 	spec := sched.Spec{ID: id, Queue: "q", Team: "t", Steps: []sched.Step{{Count: 2, Size: jobs.Size{CPU: 500}, EstimateMs: ms}}}
-	c.farm.Know(spec)
+	c.fleet.RegisterJob(spec)
 	body, err := json.Marshal(spec)
 	assert.NilError(c.t, err)
 	status, _ := c.call(i, "POST", "/q/"+id, string(body))
@@ -225,7 +225,7 @@
 // checkInvariants fails the test if the workers have detected a violated invariant.
 func (c *cluster) checkInvariants() {
 	c.t.Helper()
-	assert.DeepEqual(c.t, c.farm.Broken(), []string(nil))
+	assert.DeepEqual(c.t, c.fleet.Violations(), []string(nil))
 }
 
 // awaitReady waits until all hosts are ready.
@@ -253,7 +253,7 @@
 		assert.Equal(t, c.submit((i+1)%3, id, 100), 200, "a repeated submission is accepted as the same job")
 		c.awaitState((i+2)%3, id, "completed", 5*time.Second)
 	}
-	assert.Equal(t, c.farm.Starts(), 6)
+	assert.Equal(t, c.fleet.Starts(), 6)
 	c.checkInvariants()
 }
 
@@ -278,7 +278,7 @@
 	assert.NilError(t, err)
 	resp.Body.Close()
 	assert.Equal(t, resp.StatusCode, 401)
-	assert.Equal(t, c.farm.Starts(), 0)
+	assert.Equal(t, c.fleet.Starts(), 0)
 }
 
 // TestTakeover kills the owner while jobs run. The jobs complete without a second
@@ -298,7 +298,7 @@
 	for i := range 10 {
 		c.awaitState((old+1)%3, fmt.Sprintf("k%d", i), "completed", 10*time.Second)
 	}
-	assert.Equal(t, c.farm.Starts(), 20, "no task ran twice")
+	assert.Equal(t, c.fleet.Starts(), 20, "no task ran twice")
 	c.checkInvariants()
 }
 
@@ -310,7 +310,7 @@
 	for i := range 6 {
 		assert.Equal(t, c.submit(i%3, fmt.Sprintf("r%d", i), 300), 200)
 	}
-	c.store.Forget("jobs") // keeps only the newest record of each key
+	c.store.Compact("jobs") // keeps only the newest record of each key
 	for i, h := range c.hosts {
 		h.Kill()
 		c.start(i)
@@ -381,7 +381,7 @@
 	for i := range 20 {
 		c.awaitState(0, fmt.Sprintf("l%d", i), "completed", 10*time.Second)
 	}
-	assert.Equal(t, c.farm.Starts(), 40)
+	assert.Equal(t, c.fleet.Starts(), 40)
 	c.checkInvariants()
 }
 
@@ -417,12 +417,12 @@
 	c.awaitReady()
 	c.store.Put("op", "out/x", []byte("{}"))
 	polls.Until(t, 3*time.Second, "all hosts have the zone out of service", func() bool {
-		return c.hosts[0].site.view().Closed["x"] && c.hosts[1].site.view().Closed["x"]
+		return c.hosts[0].config.policy().ClosedAzs["x"] && c.hosts[1].config.policy().ClosedAzs["x"]
 	})
 	assert.Equal(t, c.submit(0, "z0", 3000), 200)
 	c.awaitState(0, "z0", "running", 3*time.Second)
 	c.store.Put("op", "out/x", nil)
-	polls.Until(t, 3*time.Second, "the zone is in service again", func() bool { return !c.hosts[0].site.view().Closed["x"] })
+	polls.Until(t, 3*time.Second, "the zone is in service again", func() bool { return !c.hosts[0].config.policy().ClosedAzs["x"] })
 	c.checkInvariants()
 }
 
--- a/internal/node/gate/host.go
+++ b/internal/node/gate/host.go
@@ -62,26 +62,26 @@
 	ReadyPath  string
 	PeerPort   int   // for calls between entry hosts; the same on all of them
 	MetricPort int   // 0 disables metrics
-	Power      int64 // CPU limit of the process in millicores; 0 if unknown
+	CPUMillis  int64 // CPU limit of the process in millicores; 0 if unknown
 
 	Store   ports.Store
 	Workers ports.Workers
 	Adviser ports.Adviser
 	Codec   Codec
 
-	OperatorTopic string                           // operators' configuration
-	WorkerTopic   string                           // worker registry
-	JobTopic      string                           // job records
-	HostTopic     string                           // registrations of the entry hosts
-	ParseSite     func([]byte) (ports.Site, error) // decodes the configuration
-	ParseOperator func(key string) ports.OperatorKey
-	ParseWorker   func(key string, value []byte) (sched.WorkerInfo, error)
-	WorkerID      func(key string) string
+	OperatorTopic    string                                    // operators' configuration
+	WorkerTopic      string                                    // worker registry
+	JobTopic         string                                    // job records
+	HostTopic        string                                    // registrations of the entry hosts
+	ParseConfig      func([]byte) (ports.ClusterConfig, error) // decodes the configuration
+	ParseOperatorKey func(key string) ports.OperatorKey
+	ParseWorker      func(key string, value []byte) (sched.WorkerInfo, error)
+	WorkerID         func(key string) string
 
-	KeepMs   int64 // retention time of ended jobs
-	LeaseMax int64 // longest lease that a worker grants, in ms
-	Clock    clock.Clock
-	Logger   logr.Logger
+	RetentionMs int64 // retention time of ended jobs
+	MaxLeaseMs  int64 // longest lease that a worker grants, in ms
+	Clock       clock.Clock
+	Logger      logr.Logger
 }
 
 // Host is a running entry host.
@@ -91,7 +91,7 @@
 	clock       clock.Clock
 	addr        string // for calls from other entry hosts
 	store       *relayStore
-	site        *siteState
+	config      *configState
 	pool        *frame.Pool
 	peerServer  *frame.Server
 	apiServer   *httpd.Server
@@ -120,13 +120,13 @@
 
 // Start opens the listeners and starts the background loops.
 func Start(cfg Config) (h *Host, err error) {
-	defer fault.Note(&err, "start entry host %q", cfg.Host)
+	defer fault.Annotate(&err, "start entry host %q", cfg.Host)
 	if cfg.Clock == nil {
 		cfg.Clock = clock.System{}
 	}
 	h = &Host{
 		cfg: cfg, log: cfg.Logger.WithName("gate").WithValues("host", cfg.Host), clock: cfg.Clock,
-		addr: net.JoinHostPort(cfg.IP, strconv.Itoa(cfg.PeerPort)), site: newSiteState(),
+		addr: net.JoinHostPort(cfg.IP, strconv.Itoa(cfg.PeerPort)), config: newConfigState(),
 		pool: frame.NewPool(frame.PoolConfig{}), peers: map[string]*peer{}, ownerCh: make(chan struct{}),
 		replica: newReplica(), hostsLoaded: make(chan struct{}), reg: prometheus.NewRegistry(),
 	}
@@ -141,7 +141,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	h.cancel = cancel
-	for _, loop := range []func(context.Context){h.siteLoop, h.pingLoop, h.hostsLoop, h.replicaLoop, h.claimLoop} {
+	for _, loop := range []func(context.Context){h.configLoop, h.pingLoop, h.hostsLoop, h.replicaLoop, h.claimLoop} {
 		h.loops.Add(1)
 		go func() {
 			defer h.loops.Done()
@@ -161,7 +161,7 @@
 	frame.Handle(h.peerServer, appendMethod, h.serveAppend)
 	frame.Handle(h.peerServer, readMethod, h.serveRead)
 	frame.Handle(h.peerServer, newestMethod, h.serveNewest)
-	frame.Handle(h.peerServer, siteMethod, h.serveSite)
+	frame.Handle(h.peerServer, configMethod, h.serveConfig)
 	if err := h.peerServer.Listen(); err != nil {
 		return err
 	}
@@ -219,7 +219,7 @@
 
 // ready reports whether this host can serve client requests.
 func (h *Host) ready() bool {
-	if !h.site.ready() {
+	if !h.config.ready() {
 		return false
 	}
 	h.mu.Lock()
@@ -240,7 +240,7 @@
 // Stop shuts the host down gracefully: it reports the host as not ready, hands
 // ownership over, completes the requests in flight and closes the listeners.
 func (h *Host) Stop(ctx context.Context) (err error) {
-	defer fault.Note(&err, "stop entry host %q", h.cfg.Host)
+	defer fault.Annotate(&err, "stop entry host %q", h.cfg.Host)
 	h.log.Info("stopping")
 	h.mu.Lock()
 	h.leaving = true
@@ -293,13 +293,13 @@
 	h.close()
 }
 
-// viewChanged passes a new configuration to the owner if this host is the owner.
-func (h *Host) viewChanged() {
-	v := h.site.view()
+// policyChanged passes a new configuration to the owner if this host is the owner.
+func (h *Host) policyChanged() {
+	v := h.config.policy()
 	h.mu.Lock()
 	o := h.localOwner
 	h.mu.Unlock()
 	if o != nil {
-		o.SetView(v)
+		o.SetPolicy(v)
 	}
 }
--- a/internal/node/gate/member.go
+++ b/internal/node/gate/membership.go
@@ -42,13 +42,13 @@
 
 // hostEntry is the stored registration of a host.
 type hostEntry struct {
-	Az    string
-	Power int64 // millicores
+	Az        string
+	CPUMillis int64 // millicores
 }
 
 // registerSelf writes this host's registration.
 func (h *Host) registerSelf(ctx context.Context) error {
-	value, err := frame.Encode(hostEntry{Az: h.cfg.Az, Power: h.cfg.Power})
+	value, err := frame.Encode(hostEntry{Az: h.cfg.Az, CPUMillis: h.cfg.CPUMillis})
 	if err != nil {
 		h.log.Error(err, "failed to encode the host registration")
 		return err
@@ -112,7 +112,7 @@
 				h.log.Info("ignoring invalid host registration", "peer", r.Key, "err", err.Error())
 				continue
 			}
-			h.peers[r.Key] = &peer{addr: r.Key, az: e.Az, cpuMillicores: e.Power}
+			h.peers[r.Key] = &peer{addr: r.Key, az: e.Az, cpuMillis: e.CPUMillis}
 		}
 	}
 }
@@ -164,13 +164,13 @@
 
 // newPing returns a ping with the state of this host.
 func (h *Host) newPing() ping {
-	site := h.site.offset()
+	configNext := h.config.offset()
 	storeOK := h.store.healthy()
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	p := ping{
 		Addr: h.addr, Az: h.cfg.Az, Leaving: h.leaving, Epoch: h.owner.epoch, Owner: h.owner.addr,
-		OwnerAgeMs: h.clock.Now().Sub(h.owner.lastContact).Milliseconds(), SiteNext: site, StoreOK: storeOK, Power: h.cfg.Power,
+		OwnerAgeMs: h.clock.Now().Sub(h.owner.lastContact).Milliseconds(), ConfigNext: configNext, StoreOK: storeOK, CPUMillis: h.cfg.CPUMillis,
 	}
 	if h.localOwner != nil {
 		p.OwnerAgeMs = 0
@@ -185,7 +185,7 @@
 	a, err := frame.Call(ctx, h.pool, addr, pingMethod, h.newPing())
 	if err != nil {
 		if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-			h.pool.Drop(addr) // the connection may be dead
+			h.pool.CloseConn(addr) // the connection may be dead
 		}
 		return
 	}
@@ -212,7 +212,7 @@
 		p = &peer{addr: msg.Addr, az: msg.Az}
 		h.peers[msg.Addr] = p
 	}
-	p.cpuMillicores, p.lastContact, p.leaving, p.ownerAddr, p.storeOK = msg.Power, now, msg.Leaving, msg.Owner, msg.StoreOK
+	p.cpuMillis, p.lastContact, p.leaving, p.ownerAddr, p.storeOK = msg.CPUMillis, now, msg.Leaving, msg.Owner, msg.StoreOK
 	p.ownerAge = time.Duration(msg.OwnerAgeMs) * time.Millisecond
 	if msg.Epoch > h.owner.epoch && msg.Owner != "" {
 		h.setOwner(msg.Epoch, msg.Owner, now.Add(-p.ownerAge))
@@ -221,8 +221,8 @@
 		h.owner.lastContact, h.ownerContacted = now, true
 	}
 	h.mu.Unlock()
-	if msg.SiteNext > h.site.offset() {
-		go h.fetchSite(ctx, msg.Addr)
+	if msg.ConfigNext > h.config.offset() {
+		go h.fetchConfig(ctx, msg.Addr)
 	}
 }
 
--- a/internal/node/gate/metrics.go
+++ b/internal/node/gate/metrics.go
@@ -37,15 +37,15 @@
 
 // dump is the document of the /dump endpoint: the state of a host for operators.
 type dump struct {
-	Host        string     `json:"host"`
-	Owner       string     `json:"owner"`
-	Epoch       int64      `json:"epoch"`
-	OwnerAgeMs  int64      `json:"ownerAgeMs"`
-	IsOwner     bool       `json:"isOwner"`
-	SiteVersion int64      `json:"siteVersion"`
-	SiteAgeMs   int64      `json:"siteAgeMs"`
-	Next        int64      `json:"next"`
-	Peers       []peerDump `json:"peers"`
+	Host          string     `json:"host"`
+	Owner         string     `json:"owner"`
+	Epoch         int64      `json:"epoch"`
+	OwnerAgeMs    int64      `json:"ownerAgeMs"`
+	IsOwner       bool       `json:"isOwner"`
+	ConfigVersion int64      `json:"siteVersion"`
+	ConfigAgeMs   int64      `json:"siteAgeMs"`
+	Next          int64      `json:"next"`
+	Peers         []peerDump `json:"peers"`
 }
 
 // peerDump is the state of a peer for operators.
@@ -61,13 +61,13 @@
 func (h *Host) serveDump(w http.ResponseWriter, _ *http.Request) {
 	now := h.clock.Now()
 	d := dump{Host: h.cfg.Host}
-	h.site.mu.Lock()
-	d.SiteVersion, d.SiteAgeMs = h.site.site.Version, now.Sub(h.site.lastRead).Milliseconds()
-	h.site.mu.Unlock()
+	h.config.mu.Lock()
+	d.ConfigVersion, d.ConfigAgeMs = h.config.config.Version, now.Sub(h.config.lastRead).Milliseconds()
+	h.config.mu.Unlock()
 	h.mu.Lock()
 	d.Owner, d.Epoch, d.OwnerAgeMs, d.IsOwner = h.owner.addr, h.owner.epoch, now.Sub(h.owner.lastContact).Milliseconds(), h.localOwner != nil
 	if !h.replica.inUse && h.localOwner == nil {
-		d.Next = h.replica.state.Next
+		d.Next = h.replica.state.NextOffset
 	}
 	for _, p := range h.peers {
 		d.Peers = append(d.Peers, peerDump{p.addr, p.az, now.Sub(p.lastContact).Milliseconds(), p.leaving, p.storeOK})
--- a/internal/node/gate/peers.go
+++ b/internal/node/gate/peers.go
@@ -7,14 +7,14 @@
 
 // peer is the state of another entry host, from its registration and its pings.
 type peer struct {
-	addr          string
-	az            string
-	lastContact   time.Time // last ping or answer from it; zero if there was none
-	leaving       bool
-	cpuMillicores int64         // CPU limit in millicores
-	ownerAddr     string        // owner according to its last ping
-	ownerAge      time.Duration // time since its last contact with the owner, as of its last ping
-	storeOK       bool
+	addr        string
+	az          string
+	lastContact time.Time // last ping or answer from it; zero if there was none
+	leaving     bool
+	cpuMillis   int64         // CPU limit in millicores
+	ownerAddr   string        // owner according to its last ping
+	ownerAge    time.Duration // time since its last contact with the owner, as of its last ping
+	storeOK     bool
 }
 
 // ownerInfo is the current owner of the jobs as seen by this host.
@@ -40,7 +40,7 @@
 // election holds the inputs of the decision to claim ownership.
 type election struct {
 	self           string
-	cpuMillicores  int64 // CPU limit of this host in millicores
+	cpuMillis      int64 // CPU limit of this host in millicores
 	now            time.Time
 	ownerSilence   time.Duration // since the last contact with the owner
 	peers          []peer
@@ -61,7 +61,7 @@
 	if e.ownerSilence < suspectAfter {
 		return false
 	}
-	live := []peer{{addr: e.self, cpuMillicores: e.cpuMillicores}}
+	live := []peer{{addr: e.self, cpuMillis: e.cpuMillis}}
 	known := 0
 	for _, p := range e.peers {
 		known++
@@ -97,8 +97,8 @@
 // sortByCPU sorts hosts by descending CPU limit, then by address.
 func sortByCPU(hosts []peer) {
 	sort.Slice(hosts, func(a, b int) bool {
-		if hosts[a].cpuMillicores != hosts[b].cpuMillicores {
-			return hosts[a].cpuMillicores > hosts[b].cpuMillicores
+		if hosts[a].cpuMillis != hosts[b].cpuMillis {
+			return hosts[a].cpuMillis > hosts[b].cpuMillis
 		}
 		return hosts[a].addr < hosts[b].addr
 	})
@@ -160,9 +160,9 @@
 func strongerPeer(cpuMillicores int64, peers []peer, now time.Time) (addr string, ok bool) {
 	var best peer
 	for _, p := range peers {
-		if now.Sub(p.lastContact) < livePeerAge && !p.leaving && p.storeOK && (p.cpuMillicores > best.cpuMillicores || p.cpuMillicores == best.cpuMillicores && p.addr < best.addr) {
+		if now.Sub(p.lastContact) < livePeerAge && !p.leaving && p.storeOK && (p.cpuMillis > best.cpuMillis || p.cpuMillis == best.cpuMillis && p.addr < best.addr) {
 			best = p
 		}
 	}
-	return best.addr, best.cpuMillicores >= handoverCPURatio*max(cpuMillicores, 1)
+	return best.addr, best.cpuMillis >= handoverCPURatio*max(cpuMillicores, 1)
 }
--- a/internal/node/gate/peers_test.go
+++ b/internal/node/gate/peers_test.go
@@ -13,7 +13,7 @@
 func TestShouldClaim(t *testing.T) {
 	now := time.Unix(1000, 0)
 	live := func(addr string, cpuMillicores int64) peer {
-		return peer{addr: addr, lastContact: now, cpuMillicores: cpuMillicores, ownerAge: time.Hour}
+		return peer{addr: addr, lastContact: now, cpuMillis: cpuMillicores, ownerAge: time.Hour}
 	}
 	inContactWithOwner := func(addr string) peer {
 		return peer{addr: addr, lastContact: now, ownerAddr: "o", ownerAge: 100 * time.Millisecond}
@@ -29,7 +29,7 @@
 		{"first by address", election{ownerSilence: suspectAfter, peers: []peer{live("b", 0)}}, true},
 		{"second by address", election{self: "c", ownerSilence: suspectAfter, peers: []peer{live("b", 0)}}, false},
 		{"second, later", election{self: "c", ownerSilence: suspectAfter + claimStagger, peers: []peer{live("b", 0)}}, true},
-		{"a more powerful host claims first", election{ownerSilence: suspectAfter, cpuMillicores: 192, peers: []peer{live("b", 800)}}, false},
+		{"a more powerful host claims first", election{ownerSilence: suspectAfter, cpuMillis: 192, peers: []peer{live("b", 800)}}, false},
 		{"a peer has contact with the owner", election{ownerSilence: time.Minute, peers: []peer{inContactWithOwner("b")}}, false},
 		{"isolated, the topic grows", election{ownerSilence: time.Minute, topicGrows: true, peers: []peer{dead("b")}}, false},
 		{"isolated, after the delay", election{ownerSilence: isolatedClaimDelay + 1, peers: []peer{dead("b")}}, true},
@@ -47,8 +47,8 @@
 func TestStrongerPeer(t *testing.T) {
 	now := time.Unix(1000, 0)
 	peers := []peer{
-		{addr: "a", lastContact: now, cpuMillicores: 800, storeOK: true}, {addr: "b", lastContact: now, cpuMillicores: 900, storeOK: true, leaving: true},
-		{addr: "c", lastContact: now.Add(-time.Minute), cpuMillicores: 900, storeOK: true}, {addr: "d", lastContact: now, cpuMillicores: 900},
+		{addr: "a", lastContact: now, cpuMillis: 800, storeOK: true}, {addr: "b", lastContact: now, cpuMillis: 900, storeOK: true, leaving: true},
+		{addr: "c", lastContact: now.Add(-time.Minute), cpuMillis: 900, storeOK: true}, {addr: "d", lastContact: now, cpuMillis: 900},
 	}
 	addr, ok := strongerPeer(192, peers, now)
 	assert.Assert(t, ok)
@@ -71,8 +71,8 @@
 func TestHandoverCandidates(t *testing.T) {
 	now := time.Unix(1000, 0)
 	got := handoverCandidates([]peer{
-		{addr: "a", lastContact: now, leaving: true, cpuMillicores: 9}, {addr: "c", lastContact: now, cpuMillicores: 4}, {addr: "b", lastContact: now, cpuMillicores: 4},
-		{addr: "d", lastContact: now.Add(-time.Minute), cpuMillicores: 9}, {addr: "e", lastContact: now, cpuMillicores: 8},
+		{addr: "a", lastContact: now, leaving: true, cpuMillis: 9}, {addr: "c", lastContact: now, cpuMillis: 4}, {addr: "b", lastContact: now, cpuMillis: 4},
+		{addr: "d", lastContact: now.Add(-time.Minute), cpuMillis: 9}, {addr: "e", lastContact: now, cpuMillis: 8},
 	}, now)
 	assert.DeepEqual(t, got, []string{"e", "b", "c"})
 }
@@ -82,12 +82,12 @@
 // delayed by 140 ms.
 func TestIsStandby(t *testing.T) {
 	now := time.Unix(1000, 0)
-	peers := []peer{{addr: "o", lastContact: now, cpuMillicores: 800}, {addr: "gone", lastContact: now.Add(-time.Minute), cpuMillicores: 900}}
+	peers := []peer{{addr: "o", lastContact: now, cpuMillis: 800}, {addr: "gone", lastContact: now.Add(-time.Minute), cpuMillis: 900}}
 	for _, a := range []string{"a", "b", "c"} {
-		peers = append(peers, peer{addr: a, lastContact: now, cpuMillicores: 800})
+		peers = append(peers, peer{addr: a, lastContact: now, cpuMillis: 800})
 	}
 	for _, a := range []string{"s1", "s2", "s3"} {
-		peers = append(peers, peer{addr: a, lastContact: now, cpuMillicores: 192})
+		peers = append(peers, peer{addr: a, lastContact: now, cpuMillis: 192})
 	}
 	others := func(self string) (list []peer) {
 		for _, p := range peers {
@@ -104,14 +104,14 @@
 		}
 	}
 	assert.DeepEqual(t, standbys, []string{"a", "b", "c"})
-	deadPeers := []peer{{addr: "a", lastContact: now.Add(-time.Minute), cpuMillicores: 800}}
-	assert.Assert(t, isStandby(peer{addr: "s1", cpuMillicores: 192}, "a", deadPeers, false, now), "a host without contact to any peer")
+	deadPeers := []peer{{addr: "a", lastContact: now.Add(-time.Minute), cpuMillis: 800}}
+	assert.Assert(t, isStandby(peer{addr: "s1", cpuMillis: 192}, "a", deadPeers, false, now), "a host without contact to any peer")
 	var silentPeers []peer
 	for _, a := range []string{"a", "b", "c"} {
-		silentPeers = append(silentPeers, peer{addr: a, cpuMillicores: 800})
+		silentPeers = append(silentPeers, peer{addr: a, cpuMillis: 800})
 	}
-	assert.Assert(t, !isStandby(peer{addr: "s1", cpuMillicores: 192}, "", silentPeers, true, now), "a host that has just started counts peers that have not sent a ping")
-	assert.Assert(t, isStandby(peer{addr: "s1", cpuMillicores: 192}, "", silentPeers, false, now), "peers that have not answered do not count")
+	assert.Assert(t, !isStandby(peer{addr: "s1", cpuMillis: 192}, "", silentPeers, true, now), "a host that has just started counts peers that have not sent a ping")
+	assert.Assert(t, isStandby(peer{addr: "s1", cpuMillis: 192}, "", silentPeers, false, now), "peers that have not answered do not count")
 }
 
 // TestPingSilentPeers checks that hosts that have been silent for a long time are
@@ -141,7 +141,7 @@
 	c := clock.NewManual(time.Unix(1000, 0))
 	newHost := func() *Host {
 		return &Host{
-			cfg: Config{Power: 800, Logger: logr.Discard()}, clock: c, log: logr.Discard(), addr: "a", site: newSiteState(),
+			cfg: Config{CPUMillis: 800, Logger: logr.Discard()}, clock: c, log: logr.Discard(), addr: "a", config: newConfigState(),
 			peers: map[string]*peer{}, replica: newReplica(), ownerCh: make(chan struct{}), owner: ownerInfo{lastContact: c.Now()},
 			store: &relayStore{},
 		}
--- a/internal/node/gate/relay.go
+++ b/internal/node/gate/relay.go
@@ -136,7 +136,7 @@
 	if !first.final() {
 		// If both fail, keep the first failure only if its outcome is unknown.
 		second := <-done
-		if second.final() || fault.RanOf(first.err) != fault.Unknown {
+		if second.final() || fault.OutcomeOf(first.err) != fault.Unknown {
 			first = second
 		}
 	}
@@ -175,7 +175,7 @@
 		if r := (callResult[T]{v: v, err: err}); r.final() {
 			return r
 		}
-		if fault.RanOf(err) == fault.Unknown {
+		if fault.OutcomeOf(err) == fault.Unknown {
 			failed.err = err
 		}
 	}
--- a/internal/node/gate/wire.go
+++ b/internal/node/gate/wire.go
@@ -14,7 +14,7 @@
 	appendMethod = frame.Method[ports.AppendRequest, appendAnswer]{ID: 43, Name: "append"}
 	readMethod   = frame.Method[ports.ReadRequest, readAnswer]{ID: 44, Name: "read"}
 	newestMethod = frame.Method[newestMsg, readAnswer]{ID: 45, Name: "newest"}
-	siteMethod   = frame.Method[siteMsg, siteAnswer]{ID: 46, Name: "site"}
+	configMethod = frame.Method[configMsg, configAnswer]{ID: 46, Name: "site"}
 )
 
 // ping is both the request and the answer of a ping: the state of its sender.
@@ -25,10 +25,10 @@
 	Epoch      int64  // highest epoch known to the sender
 	Owner      string // address of the owner in Epoch; empty if unknown
 	OwnerAgeMs int64  // since the sender's last contact with the owner; 0 if it is the owner
-	SiteNext   int64  // offset of the first operator record that the sender has not read
+	ConfigNext int64  // offset of the first operator record that the sender has not read
 	StoreOK    bool   // the sender's last direct store call succeeded
 	Claim      bool   // asks the receiver to claim ownership immediately
-	Power      int64  // millicores of the sender
+	CPUMillis  int64  // millicores of the sender
 }
 
 // callKind is the operation of a forwarded call.
@@ -44,11 +44,11 @@
 
 // callMsg is a validated client request for the owner.
 type callMsg struct {
-	Kind     callKind
-	Spec     sched.Spec // for callSubmit
-	ID       string
-	Queue    string
-	SiteNext int64 // operator topic offset of the configuration used for validation
+	Kind       callKind
+	Spec       sched.Spec // for callSubmit
+	ID         string
+	Queue      string
+	ConfigNext int64 // operator topic offset of the configuration used for validation
 }
 
 // callAnswer is the result of a call.
@@ -92,13 +92,13 @@
 	After string
 }
 
-// siteMsg requests the operator records if the receiver has read beyond offset
+// configMsg requests the operator records if the receiver has read beyond offset
 // Next.
-type siteMsg struct{ Next int64 }
+type configMsg struct{ Next int64 }
 
-// siteAnswer holds the offset up to which the sender has read the operator topic,
+// configAnswer holds the offset up to which the sender has read the operator topic,
 // and its records if they were requested.
-type siteAnswer struct {
+type configAnswer struct {
 	Next    int64
 	Records []ports.Record // the newest of each key
 }
--- a/internal/node/lead/metrics.go
+++ b/internal/node/lead/metrics.go
@@ -89,7 +89,7 @@
 		return "ok"
 	case ports.ReasonOf(err) != "":
 		return "refused"
-	case fault.RanOf(err) == fault.NotRun:
+	case fault.OutcomeOf(err) == fault.NotRun:
 		return "refused"
 	}
 	return "unknown"
--- a/internal/node/lead/lead.go
+++ b/internal/node/lead/owner.go
@@ -33,15 +33,15 @@
 	"lagooncourse/internal/plat/ports"
 )
 
-// Writer is the writer name of all appends to the job topic.
-const Writer = "owner"
+// JobTopicWriter is the writer name of all appends to the job topic.
+const JobTopicWriter = "owner"
 
 // AdviceClient sends requests to the advice service through several hosts.
 type AdviceClient interface {
-	sched.Desks
+	sched.AdviceHosts
 	// Advise sends the request through the host reserved for it and releases
 	// that host. It also returns the estimated time since the service answered.
-	Advise(ctx context.Context, w sched.Want) (ports.Advice, time.Duration, error)
+	Advise(ctx context.Context, w sched.AdviceRequest) (ports.Advice, time.Duration, error)
 }
 
 // Config configures an owner.
@@ -55,12 +55,12 @@
 	WorkerTopic  string // topic of the worker registry
 	ParseWorker  func(key string, value []byte) (sched.WorkerInfo, error)
 	WorkerID     func(key string) string
-	View         sched.View
+	Policy       sched.Policy
 	Clock        clock.Clock
 	Logger       logr.Logger
 	Metrics      *Metrics
-	KeepMs       int64 // retention time of ended jobs
-	LeaseMax     int64 // longest lease that a worker grants, in ms
+	RetentionMs  int64 // retention time of ended jobs
+	MaxLeaseMs   int64 // longest lease that a worker grants, in ms
 }
 
 // Intervals, timeouts and limits of an owner.
@@ -101,7 +101,7 @@
 	stored           chan struct{} // closed and replaced after a cycle that stored records
 	unconfirmedSince time.Time     // when the unconfirmed append was first sent; zero if there is none
 	lastConfirmed    time.Time     // when the confirmed try of the last append was sent
-	lastLateLog      time.Time     // time of the last log lines about late tasks
+	lastWaitingLog   time.Time     // time of the last log lines about steps that wait for long
 }
 
 // workerClock is a reading of a worker's clock.
@@ -133,10 +133,10 @@
 		stored: make(chan struct{}), lastConfirmed: cfg.Clock.Now(), nextSeq: 1,
 	}
 	o.planner = sched.NewPlanner(sched.Config{
-		State: cfg.State, SilenceMs: maxConfirmAgeMs, LeaseMs: o.leaseDurationMs(), LeaseMaxMs: cfg.LeaseMax, KeepMs: cfg.KeepMs,
+		State: cfg.State, PrevOwnerRenewMs: maxConfirmAgeMs, LeaseMs: o.leaseDurationMs(), MaxLeaseMs: cfg.MaxLeaseMs, RetentionMs: cfg.RetentionMs,
 	}, o.now())
-	o.planner.SetView(cfg.View)
-	o.log.Info("took over", "jobs", len(cfg.State.Jobs), "offset", cfg.State.Next)
+	o.planner.SetPolicy(cfg.Policy)
+	o.log.Info("took over", "jobs", len(cfg.State.Jobs), "offset", cfg.State.NextOffset)
 	for _, loop := range []func(){o.planLoop, o.writeLoop, o.registryLoop} {
 		o.loops.Add(1)
 		go func() {
@@ -154,8 +154,8 @@
 // leaseDurationMs returns the duration of a lease: leaseMs or the maximum of the
 // workers, whichever is shorter.
 func (o *Owner) leaseDurationMs() int64 {
-	if o.cfg.LeaseMax > 0 {
-		return min(leaseMs, o.cfg.LeaseMax)
+	if o.cfg.MaxLeaseMs > 0 {
+		return min(leaseMs, o.cfg.MaxLeaseMs)
 	}
 	return leaseMs
 }
@@ -163,7 +163,7 @@
 // now returns the current time as monotonic and wall-clock milliseconds.
 func (o *Owner) now() sched.Instant {
 	t := o.cfg.Clock.Now()
-	return sched.Instant{Ms: monotonicMs(t), Wall: t.UnixMilli()}
+	return sched.Instant{Ms: monotonicMs(t), WallMs: t.UnixMilli()}
 }
 
 // processStart is the origin of the monotonic time.
@@ -195,10 +195,10 @@
 	}
 }
 
-// SetView passes a new configuration to the planner.
-func (o *Owner) SetView(v sched.View) {
+// SetPolicy passes a new configuration to the planner.
+func (o *Owner) SetPolicy(v sched.Policy) {
 	o.mu.Lock()
-	o.planner.SetView(v)
+	o.planner.SetPolicy(v)
 	o.mu.Unlock()
 	o.wakePlanner()
 }
--- a/internal/node/lead/play_test.go
+++ b/internal/node/lead/play_test.go
@@ -21,7 +21,7 @@
 type simulation struct {
 	t             *testing.T
 	rand          *rand.Rand
-	farm          *fakes.Farm
+	fleet         *fakes.SimFleet
 	records       [][2]string // key and value of each record of the topic
 	owners        []*simOwner // the last one is the current owner
 	nowMs         int64
@@ -59,10 +59,10 @@
 	simLeaseMs = 8_000
 )
 
-var simView = sched.View{
+var simPolicy = sched.Policy{
 	Queues: map[string]sched.Queue{
-		"urgent": {Name: "urgent", Service: "s", Priority: 0, Attempts: 50, Slack: 2, TargetMs: 250},
-		"batch":  {Name: "batch", Service: "s", Priority: 1, Attempts: 50, Slack: 3, TargetMs: 1000},
+		"urgent": {Name: "urgent", Service: "s", Priority: 0, MaxAttempts: 50, Slack: 2, TargetMs: 250},
+		"batch":  {Name: "batch", Service: "s", Priority: 1, MaxAttempts: 50, Slack: 3, TargetMs: 1000},
 	},
 	Teams: map[string]sched.Limit{"a": {Max: jobs.Size{CPU: 30_000}}, "b": {}},
 }
@@ -70,17 +70,17 @@
 func newSimulation(t *testing.T, seed int64, disabled mutation) *simulation {
 	sim := &simulation{
 		t: t, rand: rand.New(rand.NewSource(seed)), disabled: disabled,
-		farm: fakes.NewFarm(fakes.FarmConfig{
+		fleet: fakes.NewSimFleet(fakes.SimFleetConfig{
 			Workers: 8, Capacity: jobs.Size{CPU: 16_000, Mem: 32_000}, Rack: 4, Azs: []string{"x", "y"}, Service: "s", Seed: seed,
 		}),
 		nowMs: 1_000,
 	}
-	sim.farm.SetLimit("a", jobs.Size{CPU: 30_000, Mem: jobs.Unlimited, Accel: jobs.Unlimited})
+	sim.fleet.SetLimit("a", jobs.Size{CPU: 30_000, Mem: jobs.Unlimited, Accel: jobs.Unlimited})
 	sim.takeOver()
 	return sim
 }
 
-func (sim *simulation) now() sched.Instant { return sched.Instant{Ms: sim.nowMs, Wall: sim.nowMs} }
+func (sim *simulation) now() sched.Instant { return sched.Instant{Ms: sim.nowMs, WallMs: sim.nowMs} }
 
 // takeOver starts a new owner from the stored records.
 func (sim *simulation) takeOver() {
@@ -96,8 +96,8 @@
 	if sim.disabled == noFence {
 		o.epoch = 1
 	}
-	o.planner = sched.NewPlanner(sched.Config{State: state, SilenceMs: silence, LeaseMs: simLeaseMs, LeaseMaxMs: fakes.HoldMaxMs, KeepMs: 1 << 40}, sim.now())
-	o.planner.SetView(simView)
+	o.planner = sched.NewPlanner(sched.Config{State: state, PrevOwnerRenewMs: silence, LeaseMs: simLeaseMs, MaxLeaseMs: fakes.MaxLeaseMs, RetentionMs: 1 << 40}, sim.now())
+	o.planner.SetPolicy(simPolicy)
 	if n := len(sim.owners); n > 0 {
 		sim.owners[n-1].replacedMs = sim.nowMs
 	}
@@ -107,7 +107,7 @@
 // submit accepts a random job.
 func (sim *simulation) submit() {
 	sim.jobs++
-	spec := sched.Spec{ID: fmt.Sprintf("%016x", sim.jobs), Queue: "batch", Team: "b", AtMs: sim.nowMs}
+	spec := sched.Spec{ID: fmt.Sprintf("%016x", sim.jobs), Queue: "batch", Team: "b", AcceptedMs: sim.nowMs}
 	if sim.rand.Intn(2) == 0 {
 		spec.Queue, spec.Team = "urgent", "a"
 	}
@@ -117,11 +117,11 @@
 			EstimateMs: int64(200 + sim.rand.Intn(3000)), Gang: sim.rand.Intn(3) == 0,
 		}
 		if i > 0 {
-			s.After = []int{i - 1}
+			s.DependsOn = []int{i - 1}
 		}
 		spec.Steps = append(spec.Steps, s)
 	}
-	sim.farm.Know(spec)
+	sim.fleet.RegisterJob(spec)
 	sim.owners[len(sim.owners)-1].planner.Accept(spec, sim.now())
 }
 
@@ -129,7 +129,7 @@
 // maxConfirmAgeMs ago.
 func (sim *simulation) step() {
 	sim.nowMs += simStepMs
-	sim.farm.Advance(sim.nowMs)
+	sim.fleet.Advance(sim.nowMs)
 	for i, o := range sim.owners {
 		current := i == len(sim.owners)-1
 		if !current && sim.nowMs-o.replacedMs > maxConfirmAgeMs {
@@ -141,7 +141,7 @@
 
 // runOwner runs one round of an owner. Only the current owner plans and stores.
 func (sim *simulation) runOwner(o *simOwner, current bool) {
-	for _, info := range sim.farm.Entries() {
+	for _, info := range sim.fleet.Entries() {
 		o.planner.SetWorker(info, sim.now())
 	}
 	o.planner.Tick(sim.now())
@@ -164,7 +164,7 @@
 // store appends the pending records and queues the starts whose intents are
 // stored.
 func (sim *simulation) store(o *simOwner) {
-	b, err := o.planner.TakeDirty(sim.now())
+	b, err := o.planner.TakeBatch(sim.now())
 	assert.NilError(sim.t, err)
 	for i, key := range b.Keys {
 		sim.records = append(sim.records, [2]string{key, string(b.Values[i])})
@@ -172,7 +172,7 @@
 	o.confirmedMs = sim.nowMs
 	sim.storedJobs = append(sim.storedJobs, b.Accepted...)
 	o.planner.Stored(b)
-	send := o.planner.Release(o.plannedStarts, sim.now())
+	send := o.planner.ReleaseStarts(o.plannedStarts, sim.now())
 	o.plannedStarts = nil
 	for _, s := range send {
 		at := sim.nowMs
@@ -206,7 +206,7 @@
 // renewed.
 func (o *simOwner) leaseEnd(id string, nowMs int64) int64 {
 	c, ok := o.clocks[id]
-	if info, _ := o.planner.Worker(id); !ok || info.Born != c[2] || nowMs-o.confirmedMs >= maxConfirmAgeMs {
+	if info, _ := o.planner.Worker(id); !ok || info.Incarnation != c[2] || nowMs-o.confirmedMs >= maxConfirmAgeMs {
 		return 0
 	}
 	return c[0] + nowMs - c[1] + simLeaseMs
@@ -215,22 +215,22 @@
 // sendStart sends a start if it is still valid.
 func (sim *simulation) sendStart(o *simOwner, s sched.Start) {
 	end := o.leaseEnd(s.Worker, sim.nowMs)
-	if end == 0 || !o.planner.Due(s) {
-		o.planner.Started(s, sched.StartRefused, sim.now())
+	if end == 0 || !o.planner.ShouldSend(s) {
+		o.planner.ApplyStartOutcome(s, sched.StartRefused, sim.now())
 		return
 	}
-	o.planner.Renewing(s.Worker, sim.now())
-	_, err := sim.farm.StartAt(ports.StartOrder{
+	o.planner.BeforeRenewal(s.Worker, sim.now())
+	_, err := sim.fleet.StartAt(ports.StartOrder{
 		Peer: ports.Peer{ID: s.Worker}, Token: o.epoch, Task: s.Ref.String(), Run: s.Run, LeaseEnd: end,
 	}, sim.nowMs)
-	o.planner.Started(s, startOutcome(err, 0), sim.now())
+	o.planner.ApplyStartOutcome(s, startOutcome(err, 0), sim.now())
 }
 
 // sendStop sends a stop and queues it for the next round if it is not answered.
 func (sim *simulation) sendStop(o *simOwner, s sched.Stop) {
-	err := sim.farm.StopAt(ports.StopOrder{Peer: ports.Peer{ID: s.Worker}, Token: o.epoch, Task: s.Ref.String(), Run: s.Run}, sim.nowMs)
+	err := sim.fleet.StopAt(ports.StopOrder{Peer: ports.Peer{ID: s.Worker}, Token: o.epoch, Task: s.Ref.String(), Run: s.Run}, sim.nowMs)
 	if err == nil {
-		o.planner.StopDenied(s, sim.now())
+		o.planner.StopConfirmed(s, sim.now())
 		return
 	}
 	var refused *ports.RefusedError
@@ -241,38 +241,38 @@
 
 // heartbeats sends heartbeats to a random quarter of the workers.
 func (sim *simulation) heartbeats(o *simOwner) {
-	for _, info := range o.planner.Targets() {
+	for _, info := range o.planner.WorkersToRenew() {
 		if sim.rand.Intn(4) > 0 {
 			continue
 		}
 		end := o.leaseEnd(info.ID, sim.nowMs)
 		if end > 0 {
-			o.planner.Renewing(info.ID, sim.now())
+			o.planner.BeforeRenewal(info.ID, sim.now())
 		}
-		seen := o.planner.Seen(info.ID)
+		seen := o.planner.StoredSeq(info.ID)
 		if sim.disabled == ackBeforeStored {
-			seen = o.planner.Applied(info.ID) + 1
+			seen = o.planner.AppliedSeq(info.ID) + 1
 		}
-		h, err := sim.farm.HoldAt(ports.HoldRequest{Peer: ports.Peer{ID: info.ID}, Token: o.epoch, LeaseEnd: end, Seen: seen}, sim.nowMs)
+		h, err := sim.fleet.HeartbeatAt(ports.HeartbeatRequest{Peer: ports.Peer{ID: info.ID}, Token: o.epoch, LeaseEnd: end, Seen: seen}, sim.nowMs)
 		if err != nil {
-			o.planner.Unanswered(info.ID)
+			o.planner.HeartbeatFailed(info.ID)
 			delete(o.clocks, info.ID)
 			continue
 		}
-		incarnation := h.Born
+		incarnation := h.Incarnation
 		if sim.disabled == noIncarnationCheck {
 			incarnation = 1
 		}
-		o.clocks[info.ID] = [3]int64{h.Clock, sim.nowMs, h.Born}
-		o.planner.Listed(info.ID, sched.Lists{SentMs: sim.nowMs, Born: incarnation, Running: h.Running, Finished: h.Finished}, sim.now())
+		o.clocks[info.ID] = [3]int64{h.Clock, sim.nowMs, h.Incarnation}
+		o.planner.ApplyReport(info.ID, sched.WorkerReport{SentMs: sim.nowMs, Incarnation: incarnation, Running: h.Running, Finished: h.Finished}, sim.now())
 	}
 }
 
 // unlimitedAdvice always has a free host for an advice request.
 type unlimitedAdvice struct{}
 
-func (unlimitedAdvice) Idle() bool                  { return true }
-func (unlimitedAdvice) Take(float64) (string, bool) { return "d", true }
+func (unlimitedAdvice) Available() bool                { return true }
+func (unlimitedAdvice) Reserve(float64) (string, bool) { return "d", true }
 
 // injectFault triggers a takeover or a worker restart, or changes the network
 // faults.
@@ -282,15 +282,15 @@
 	case 0:
 		sim.takeOver()
 	case 1:
-		sim.farm.Cut(id, true)
+		sim.fleet.SetUnreachable(id, true)
 	case 2, 3:
-		sim.farm.Cut(id, false)
+		sim.fleet.SetUnreachable(id, false)
 	case 4:
-		sim.farm.Reboot(id, sim.nowMs)
+		sim.fleet.Reboot(id, sim.nowMs)
 	case 5:
-		sim.farm.SetFaults(fakes.FarmFaults{Lost: 0.1, Late: 0.1, Fail: 0.05})
+		sim.fleet.SetFaults(fakes.SimFleetFaults{Lost: 0.1, Late: 0.1, Fail: 0.05})
 	case 6:
-		sim.farm.SetFaults(fakes.FarmFaults{})
+		sim.fleet.SetFaults(fakes.SimFleetFaults{})
 	}
 }
 
@@ -298,12 +298,12 @@
 // have passed. It returns the number of unfinished jobs.
 func (sim *simulation) finish() (unfinished int) {
 	for i := range 8 {
-		sim.farm.Cut(fmt.Sprintf("w%d", i), false)
+		sim.fleet.SetUnreachable(fmt.Sprintf("w%d", i), false)
 	}
-	sim.farm.SetFaults(fakes.FarmFaults{})
+	sim.fleet.SetFaults(fakes.SimFleetFaults{})
 	for range 120_000 / simStepMs {
 		sim.step()
-		if sim.unfinished() == 0 && sim.farm.Running() == 0 {
+		if sim.unfinished() == 0 && sim.fleet.Running() == 0 {
 			break
 		}
 	}
@@ -344,15 +344,15 @@
 			sim := newSimulation(t, seed, noMutation)
 			sim.run()
 			open := sim.finish()
-			assert.DeepEqual(t, sim.farm.Broken(), []string(nil))
-			for _, late := range sim.owners[len(sim.owners)-1].planner.Late(1000, 5, sim.now()) {
+			assert.DeepEqual(t, sim.fleet.Violations(), []string(nil))
+			for _, late := range sim.owners[len(sim.owners)-1].planner.ExplainWaiting(1000, 5, sim.now()) {
 				t.Logf("%+v", late)
 			}
 			if open > 0 {
 				t.Log(sim.owners[len(sim.owners)-1].planner.Describe(sim.unfinishedJob))
 			}
 			assert.Equal(t, open, 0, "unfinished jobs of %d", len(sim.storedJobs))
-			assert.Assert(t, sim.farm.Starts() > sim.jobs/2, "only %d starts for %d jobs", sim.farm.Starts(), sim.jobs)
+			assert.Assert(t, sim.fleet.Starts() > sim.jobs/2, "only %d starts for %d jobs", sim.fleet.Starts(), sim.jobs)
 		})
 	}
 }
@@ -367,8 +367,8 @@
 			for seed := int64(1); seed <= 40; seed++ {
 				sim := newSimulation(t, seed, m)
 				sim.run()
-				if open := sim.finish(); open > 0 || len(sim.farm.Broken()) > 0 {
-					t.Logf("detected with seed %d: %d unfinished jobs, violation %q", seed, open, firstOrEmpty(sim.farm.Broken()))
+				if open := sim.finish(); open > 0 || len(sim.fleet.Violations()) > 0 {
+					t.Logf("detected with seed %d: %d unfinished jobs, violation %q", seed, open, firstOrEmpty(sim.fleet.Violations()))
 					return
 				}
 			}
--- a/internal/node/lead/write.go
+++ b/internal/node/lead/store.go
@@ -47,12 +47,12 @@
 	}
 	plan := o.planner.Plan(o.cfg.AdviceClient, now)
 	o.plannedStarts = append(o.plannedStarts, plan.Starts...)
-	for _, want := range plan.Wants {
-		go o.requestAdvice(want)
+	for _, req := range plan.Requests {
+		go o.requestAdvice(req)
 	}
-	o.logLate(now)
+	o.logWaiting(now)
 	o.dispatchStops()
-	return o.planner.Dirty() || len(o.submissions) > 0 || len(o.cancellations) > 0
+	return o.planner.HasPending() || len(o.submissions) > 0 || len(o.cancellations) > 0
 }
 
 // writeLoop runs a cycle on each wake-up and at least every idleAppendInterval.
@@ -89,7 +89,7 @@
 			o.mu.Unlock()
 			break
 		}
-		w.batch, err = o.planner.TakeDirty(o.now())
+		w.batch, err = o.planner.TakeBatch(o.now())
 		o.mu.Unlock()
 	}
 	if err != nil {
@@ -138,7 +138,7 @@
 	}
 	o.planLocked()
 	w.plannedStarts, o.plannedStarts = o.plannedStarts, nil
-	w.batch, err = o.planner.TakeDirty(now)
+	w.batch, err = o.planner.TakeBatch(now)
 	if err == nil && w.batch.Empty() && o.cfg.Clock.Now().Sub(o.lastConfirmed) > idleAppendInterval {
 		err = o.addClaim(w.batch)
 	}
@@ -147,22 +147,22 @@
 
 // Limits of the log lines about steps that have waited for a long time.
 const (
-	lateAfterMs     = 3_000
-	lateLogInterval = 2 * time.Second
-	maxLateLines    = 10 // per lateLogInterval
+	waitingAfterMs     = 3_000
+	waitingLogInterval = 2 * time.Second
+	maxWaitingLines    = 10 // per waitingLogInterval
 )
 
-// logLate logs why steps that have waited for a long time are not placed. The
+// logWaiting logs why steps that have waited for a long time are not placed. The
 // caller holds o.mu.
-func (o *Owner) logLate(now sched.Instant) {
-	if t := o.cfg.Clock.Now(); t.Sub(o.lastLateLog) < lateLogInterval {
+func (o *Owner) logWaiting(now sched.Instant) {
+	if t := o.cfg.Clock.Now(); t.Sub(o.lastWaitingLog) < waitingLogInterval {
 		return
 	} else {
-		o.lastLateLog = t
+		o.lastWaitingLog = t
 	}
-	for _, e := range o.planner.Late(lateAfterMs, maxLateLines, now) {
-		o.log.Info("still waiting", "step", e.Step, "waitMs", e.WaitMs, "idle", e.Idle, "unusable", e.Unusable, "unasked", e.Unasked,
-			"denied", e.Denied, "noRoom", e.NoRoom, "noTicket", e.NoTicket, "slots", e.Slots, "overLimit", e.OverLimit, "asked", e.Asked, "kept", e.Kept)
+	for _, e := range o.planner.ExplainWaiting(waitingAfterMs, maxWaitingLines, now) {
+		o.log.Info("still waiting", "step", e.Step, "waitMs", e.WaitMs, "idle", e.Idle, "unusable", e.Unusable, "unasked", e.NoAdvice,
+			"denied", e.Denied, "noRoom", e.NoCapacity, "noTicket", e.NoTicket, "slots", e.Slots, "overLimit", e.OverLimit, "asked", e.Requested, "kept", e.Reserved)
 	}
 }
 
@@ -177,7 +177,7 @@
 // stored, and wakes the loops that wait for ended runs to be stored. The caller
 // holds o.mu.
 func (o *Owner) releaseStarts(w *cycleWork) {
-	w.releasedStarts = o.planner.Release(w.plannedStarts, o.now())
+	w.releasedStarts = o.planner.ReleaseStarts(w.plannedStarts, o.now())
 	if len(w.batch.Keys) > 0 {
 		close(o.stored)
 		o.stored = make(chan struct{})
@@ -207,7 +207,7 @@
 // appendBatch appends a batch and retries until the outcome is known. It returns
 // false when ownership has ended.
 func (o *Owner) appendBatch(b *sched.Batch) bool {
-	req := ports.AppendRequest{Topic: o.cfg.JobTopic, Writer: Writer, Epoch: o.cfg.Claim.Epoch, Seq: o.nextSeq}
+	req := ports.AppendRequest{Topic: o.cfg.JobTopic, Writer: JobTopicWriter, Epoch: o.cfg.Claim.Epoch, Seq: o.nextSeq}
 	for i, key := range b.Keys {
 		req.Records = append(req.Records, ports.Record{Key: key, Value: b.Values[i]})
 	}
@@ -294,18 +294,18 @@
 }
 
 // requestAdvice requests advice and passes the answer to the planner.
-func (o *Owner) requestAdvice(want sched.Want) {
-	ctx, cancel := context.WithTimeout(o.ctx, adviceExtraTimeout+time.Duration(2*want.CostMs)*time.Millisecond)
+func (o *Owner) requestAdvice(req sched.AdviceRequest) {
+	ctx, cancel := context.WithTimeout(o.ctx, adviceExtraTimeout+time.Duration(2*req.CostMs)*time.Millisecond)
 	defer cancel()
 	sent := o.cfg.Clock.Now()
-	a, age, err := o.cfg.AdviceClient.Advise(ctx, want)
+	a, age, err := o.cfg.AdviceClient.Advise(ctx, req)
 	now := o.now()
 	o.mu.Lock()
-	o.planner.Advised(want, a.Tickets, err == nil, now.Ms-age.Milliseconds(), now)
+	o.planner.ApplyAdvice(req, a.Tickets, err == nil, now.Ms-age.Milliseconds(), now)
 	o.mu.Unlock()
 	o.cfg.Metrics.countAdvice(err == nil)
-	o.log.Info("advice", "step", want.Step, "asked", len(want.Workers), "allowed", len(a.Tickets), "desk", want.Desk,
-		"costMs", int(want.CostMs), "tookMs", o.cfg.Clock.Now().Sub(sent).Milliseconds(), "err", errText(err))
+	o.log.Info("advice", "step", req.Step, "asked", len(req.Workers), "allowed", len(a.Tickets), "desk", req.Host,
+		"costMs", int(req.CostMs), "tookMs", o.cfg.Clock.Now().Sub(sent).Milliseconds(), "err", errText(err))
 	o.wakePlanner()
 }
 
--- a/internal/node/lead/order.go
+++ b/internal/node/lead/worker.go
@@ -36,10 +36,10 @@
 // renewed. The caller holds o.mu.
 func (o *Owner) renewedLeaseEnd(id string) int64 {
 	c, ok := o.workerClocks[id]
-	if info, _ := o.planner.Worker(id); !ok || info.Born != c.incarnation || !o.mayRenew() {
+	if info, _ := o.planner.Worker(id); !ok || info.Incarnation != c.incarnation || !o.mayRenew() {
 		return 0
 	}
-	o.planner.Renewing(id, o.now())
+	o.planner.BeforeRenewal(id, o.now())
 	return c.ms + o.cfg.Clock.Now().Sub(c.readAt).Milliseconds() + o.leaseDurationMs()
 }
 
@@ -51,7 +51,7 @@
 	for try := 0; try < startTries && outcome == sched.StartUnknown; try++ {
 		o.mu.Lock()
 		end := int64(0)
-		if o.planner.Due(s) {
+		if o.planner.ShouldSend(s) {
 			end = o.renewedLeaseEnd(s.Worker)
 		}
 		o.mu.Unlock()
@@ -65,7 +65,7 @@
 		sent := o.cfg.Clock.Now()
 		_, err = o.cfg.Workers.Start(ctx, ports.StartOrder{
 			Peer: ports.Peer{ID: s.Worker, Addr: s.Addr}, Token: o.cfg.Claim.Epoch, Task: s.Ref.String(), Run: s.Run,
-			Payload: s.Payload, LeaseEnd: end, Saved: s.Saved, Ticket: s.Ticket,
+			Payload: s.Payload, LeaseEnd: end, Checkpoint: s.Checkpoint, Ticket: s.Ticket,
 		})
 		cancel()
 		o.cfg.Metrics.observeStart(o.cfg.Clock.Now().Sub(sent), err)
@@ -73,10 +73,10 @@
 		o.stopIfFenced(err)
 	}
 	o.mu.Lock()
-	o.planner.Started(s, outcome, o.now())
+	o.planner.ApplyStartOutcome(s, outcome, o.now())
 	o.dispatchStops()
 	o.mu.Unlock()
-	if outcome != sched.StartUp {
+	if outcome != sched.StartConfirmed {
 		o.wakePlanner()
 	}
 	o.log.Info("start", "task", s.Ref.String(), "run", s.Run, "worker", s.Worker, "outcome", outcome.String(), "err", errText(err))
@@ -102,11 +102,11 @@
 // one may still arrive.
 func startOutcome(err error, try int) sched.Outcome {
 	if err == nil {
-		return sched.StartUp
+		return sched.StartConfirmed
 	}
 	reason := ports.ReasonOf(err)
 	if reason == "" {
-		if fault.RanOf(err) == fault.NotRun && try == 0 {
+		if fault.OutcomeOf(err) == fault.NotRun && try == 0 {
 			return sched.StartRefused
 		}
 		return sched.StartUnknown
@@ -117,10 +117,10 @@
 	switch reason {
 	case ports.RefusedTicket:
 		return sched.StartNoTicket
-	case ports.RefusedRoom:
-		return sched.StartNoRoom
-	case ports.RefusedOld:
-		return sched.StartOld
+	case ports.RefusedCapacity:
+		return sched.StartNoCapacity
+	case ports.RefusedStaleRun:
+		return sched.StartStaleRun
 	}
 	return sched.StartRefused
 }
@@ -175,11 +175,11 @@
 	case reason == ports.RefusedFence:
 		o.stopIfFenced(err)
 		return true
-	case reason == ports.RefusedReborn:
+	case reason == ports.RefusedIncarnation:
 		return true
 	}
 	o.mu.Lock()
-	o.planner.StopDenied(s, o.now())
+	o.planner.StopConfirmed(s, o.now())
 	o.mu.Unlock()
 	return true
 }
@@ -222,7 +222,7 @@
 	defer t.Stop()
 	for {
 		o.mu.Lock()
-		ch, stored := o.stored, o.planner.Applied(id) <= o.planner.Seen(id)
+		ch, stored := o.stored, o.planner.AppliedSeq(id) <= o.planner.StoredSeq(id)
 		o.mu.Unlock()
 		if stored {
 			return
@@ -243,9 +243,9 @@
 func (o *Owner) heartbeat(ctx context.Context, info sched.WorkerInfo) (unstoredEnds bool, err error) {
 	o.mu.Lock()
 	_, clockKnown := o.workerClocks[info.ID]
-	req := ports.HoldRequest{
+	req := ports.HeartbeatRequest{
 		Peer: ports.Peer{ID: info.ID, Addr: info.Addr}, Token: o.cfg.Claim.Epoch, LeaseEnd: o.renewedLeaseEnd(info.ID),
-		Seen: o.planner.Seen(info.ID),
+		Seen: o.planner.StoredSeq(info.ID),
 	}
 	o.mu.Unlock()
 	if clockKnown {
@@ -254,7 +254,7 @@
 	sent := o.now()
 	ctx, cancel := context.WithTimeout(ctx, req.Wait+heartbeatTimeout)
 	defer cancel()
-	h, err := o.cfg.Workers.Hold(ctx, req)
+	h, err := o.cfg.Workers.Heartbeat(ctx, req)
 	readAt := o.cfg.Clock.Now()
 	o.cfg.Metrics.countHeartbeat(err)
 	o.mu.Lock()
@@ -265,12 +265,12 @@
 		}
 		return false, err
 	}
-	o.workerClocks[info.ID] = workerClock{ms: h.Clock, readAt: readAt, incarnation: h.Born}
-	lastApplied := o.planner.Applied(info.ID)
-	o.planner.Listed(info.ID, sched.Lists{SentMs: sent.Ms, Born: h.Born, Running: h.Running, Finished: h.Finished}, o.now())
+	o.workerClocks[info.ID] = workerClock{ms: h.Clock, readAt: readAt, incarnation: h.Incarnation}
+	lastApplied := o.planner.AppliedSeq(info.ID)
+	o.planner.ApplyReport(info.ID, sched.WorkerReport{SentMs: sent.Ms, Incarnation: h.Incarnation, Running: h.Running, Finished: h.Finished}, o.now())
 	o.logEnds(info.ID, lastApplied, h.Finished)
 	o.dispatchStops()
-	unstoredEnds = o.planner.Applied(info.ID) > o.planner.Seen(info.ID)
+	unstoredEnds = o.planner.AppliedSeq(info.ID) > o.planner.StoredSeq(info.ID)
 	if unstoredEnds || !clockKnown {
 		o.wakePlanner()
 	}
@@ -280,8 +280,8 @@
 // logEnds logs the ended runs with a number above lastApplied.
 func (o *Owner) logEnds(worker string, lastApplied int64, finished []sched.Finished) {
 	for _, f := range finished {
-		if f.N > lastApplied {
-			o.log.Info("end", "task", f.Task, "run", f.Run, "how", f.How, "worker", worker)
+		if f.Seq > lastApplied {
+			o.log.Info("end", "task", f.Task, "run", f.Run, "how", f.Reason, "worker", worker)
 		}
 	}
 }
@@ -290,7 +290,7 @@
 // clock, so that no lease is renewed before the next successful heartbeat. The
 // caller holds o.mu.
 func (o *Owner) heartbeatFailed(info sched.WorkerInfo, err error) {
-	if o.planner.Unanswered(info.ID) {
+	if o.planner.HeartbeatFailed(info.ID) {
 		o.log.Info("worker does not answer", "worker", info.ID, "err", err.Error())
 	}
 	delete(o.workerClocks, info.ID)
@@ -350,7 +350,7 @@
 		present[o.cfg.WorkerID(r.Key)] = true
 		o.applyEntry(r)
 	}
-	for _, info := range o.planner.Targets() {
+	for _, info := range o.planner.WorkersToRenew() {
 		if !present[info.ID] {
 			o.planner.DropWorker(info.ID)
 		}
@@ -381,7 +381,7 @@
 // startHeartbeats starts a heartbeat loop for each worker that the planner tracks
 // and that has none. The caller holds o.mu.
 func (o *Owner) startHeartbeats() {
-	for _, info := range o.planner.Targets() {
+	for _, info := range o.planner.WorkersToRenew() {
 		if o.heartbeatLoops[info.ID] != nil || o.ctx.Err() != nil {
 			continue
 		}
--- a/internal/node/owner/accept.go
+++ b/internal/node/owner/api.go
@@ -17,7 +17,7 @@
 // Submit records a job and returns it. A repeated submission id returns the job
 // that was recorded first.
 func (g *Group) Submit(ctx context.Context, spec jobs.Spec) (j jobs.Job, err error) {
-	defer fault.Note(&err, "submit job %q", spec.Name)
+	defer fault.Annotate(&err, "submit job %q", spec.Name)
 	if j, found, err := g.findSubmission(spec); found || err != nil {
 		return j, err
 	}
@@ -40,7 +40,7 @@
 	if g.epoch == 0 {
 		return j, false, notOwner(g.cfg.Name)
 	}
-	j, found = g.state.Job(g.state.Subs[group.SubKey(spec.Team, spec.Submission)])
+	j, found = g.state.Job(g.state.Submissions[group.RequestKey(spec.Team, spec.Submission)])
 	if found && j.Spec != spec {
 		err = fault.New(fault.Conflict, fault.NotRun, "submission %q already exists with a different spec, as job %q", spec.Submission, j.ID)
 	}
@@ -83,7 +83,7 @@
 
 // Cancel records the cancellation of a job. Its placed tasks are stopped later.
 func (g *Group) Cancel(ctx context.Context, id jobs.ID) (j jobs.Job, err error) {
-	defer fault.Note(&err, "cancel job %q", id)
+	defer fault.Annotate(&err, "cancel job %q", id)
 	if _, _, err := g.status(id); err != nil {
 		return j, err
 	}
@@ -96,7 +96,7 @@
 
 // Settle applies an operator's decision to a parked task.
 func (g *Group) Settle(ctx context.Context, msg wire.SettleMsg) (j jobs.Job, err error) {
-	defer fault.Note(&err, "settle task %q", msg.Ref)
+	defer fault.Annotate(&err, "settle task %q", msg.Ref)
 	a, _, err := g.status(msg.Ref.Job)
 	if err != nil {
 		return j, err
@@ -119,7 +119,7 @@
 	if g.epoch == 0 {
 		return a, notOwner(g.cfg.Name)
 	}
-	for _, j := range g.state.Sorted() {
+	for _, j := range g.state.JobsBySubmission() {
 		if msg.Team != "" && j.Spec.Team != msg.Team || msg.State != "" && j.State() != msg.State {
 			continue
 		}
--- a/internal/node/owner/once.go
+++ b/internal/node/owner/calls.go
@@ -24,9 +24,9 @@
 	err    error
 }
 
-// Once runs the call, or returns the answer of an earlier call with the same id.
-func (g *Group) Once(ctx context.Context, msg wire.CallMsg, d Dispatcher) (a wire.CallAnswer, err error) {
-	defer fault.Note(&err, "call %q of service %q", msg.ID, msg.Service)
+// CallOnce runs the call, or returns the answer of an earlier call with the same id.
+func (g *Group) CallOnce(ctx context.Context, msg wire.CallMsg, d Dispatcher) (a wire.CallAnswer, err error) {
+	defer fault.Annotate(&err, "call %q of service %q", msg.ID, msg.Service)
 	ic, call, err := g.admitCall(msg)
 	if err != nil {
 		return a, err
@@ -56,7 +56,7 @@
 	if g.epoch == 0 {
 		return nil, nil, notOwner(g.cfg.Name)
 	}
-	key := group.SubKey(msg.Team, msg.ID)
+	key := group.RequestKey(msg.Team, msg.ID)
 	if ic := g.inflight[key]; ic != nil {
 		return ic, nil, nil
 	}
@@ -77,9 +77,9 @@
 // recordedAnswer returns the answer to a call whose id is already recorded.
 func recordedAnswer(old group.Call) (wire.CallAnswer, error) {
 	switch {
-	case old.Ran == fault.Done && !old.Dropped:
-		return wire.CallAnswer{Status: old.Status, Body: old.Answer, Ran: fault.Done}, nil
-	case old.Ran == fault.Done:
+	case old.Outcome == fault.Done && !old.Dropped:
+		return wire.CallAnswer{Status: old.Status, Body: old.Answer, Outcome: fault.Done}, nil
+	case old.Outcome == fault.Done:
 		return wire.CallAnswer{}, fault.New(fault.Conflict, fault.Done, "the call has run; its answer was too long to store")
 	}
 	return wire.CallAnswer{}, fault.New(fault.Timeout, fault.Unknown, "the call was sent before and its outcome is unknown; it is not sent again")
@@ -103,11 +103,11 @@
 		// durable later, a repeated call gets the outcome Unknown.
 		g.removeCall(call)
 		e := *fault.From(err)
-		e.Ran = fault.NotRun
+		e.Outcome = fault.NotRun
 		return wire.CallAnswer{}, &e
 	}
 	a, err := d.Dispatch(ctx, msg)
-	end := call.WithOutcome(fault.RanOf(err), a.Status, a.Body)
+	end := call.WithOutcome(fault.OutcomeOf(err), a.Status, a.Body)
 	g.mu.Lock()
 	proposeErr := g.propose(proposal{
 		records: []group.Record{{Call: &end}}, done: func(error) { g.removeCall(call) },
--- a/internal/node/owner/commit.go
+++ b/internal/node/owner/commit.go
@@ -79,7 +79,7 @@
 		}
 	}
 	select {
-	case <-time.After(g.cfg.Timing.Commit):
+	case <-time.After(g.cfg.Timing.CommitInterval):
 	case <-ctx.Done():
 	}
 }
@@ -168,7 +168,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.notifyChanged()
-	applied, settled := g.state.Verdict(b.Epoch, b.Seq)
+	applied, settled := g.state.BatchStatus(b.Epoch, b.Seq)
 	if g.state.Epoch != b.Epoch {
 		g.dropOwnership("another host claimed it")
 	}
@@ -208,7 +208,7 @@
 // updateLogDown records whether the log responds. An Overload error is a
 // response.
 func (g *Group) updateLogDown(err error) {
-	down := err != nil && !fault.Is(err, fault.Overload)
+	down := err != nil && !fault.HasCode(err, fault.Overload)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.logDown = down
--- a/internal/node/owner/limit.go
+++ b/internal/node/owner/grants.go
@@ -51,7 +51,7 @@
 	if now.Sub(req.at) > grantRequestTTL {
 		req.size = jobs.Size{}
 	}
-	gr.requests[team] = grantRequest{size: req.size.Most(size), at: now}
+	gr.requests[team] = grantRequest{size: req.size.Max(size), at: now}
 }
 
 // requesting returns the teams that have a current request for a larger grant.
@@ -66,13 +66,13 @@
 	return teams
 }
 
-// ceiling returns the total size of the team's tasks that the group may place now:
-// the group's grant, or less while the grant is being decreased or the sum of all
-// grants exceeds the team's limit. The caller holds the lock.
-func (g *Group) ceiling(team string, cell *config.State) jobs.Size {
-	c := cell.Ceiling(team, g.cfg.Name)
+// effectiveLimit returns the total size of the team's tasks that the group may
+// place now: the group's grant, or less while the grant is being decreased or the
+// sum of all grants exceeds the team's limit. The caller holds the lock.
+func (g *Group) effectiveLimit(team string, cell *config.State) jobs.Size {
+	c := cell.EffectiveLimit(team, g.cfg.Name)
 	if lowered, ok := g.grants.reduced[team]; ok {
-		c = c.Least(lowered)
+		c = c.Min(lowered)
 	}
 	return c
 }
@@ -93,7 +93,7 @@
 func (g *Group) applyGrants(ctx context.Context, change config.Grants) {
 	for ctx.Err() == nil {
 		rctx, cancel := context.WithTimeout(ctx, grantTimeout)
-		err := g.cfg.Cell.Change(rctx, change)
+		err := g.cfg.Cell.ChangeGrants(rctx, change)
 		cancel()
 		if err == nil {
 			break
@@ -127,7 +127,7 @@
 	}
 	if len(change.Items) > 0 {
 		g.grants.seq++
-		change.Fence = config.Fence{Epoch: g.epoch, Seq: g.grants.seq}
+		change.FencingToken = config.FencingToken{Epoch: g.epoch, Seq: g.grants.seq}
 	}
 	return change
 }
@@ -135,11 +135,11 @@
 // requestedElsewhere returns the teams for which another group requests a grant.
 func (g *Group) requestedElsewhere() map[string]bool {
 	teams := map[string]bool{}
-	for _, d := range g.cfg.Remote.Duties() {
+	for _, d := range g.cfg.Remote.Groups() {
 		if d.Group == g.cfg.Name {
 			continue
 		}
-		for _, team := range d.Wanting {
+		for _, team := range d.Requesting {
 			teams[team] = true
 		}
 	}
@@ -174,7 +174,7 @@
 	if req, ok := g.grants.requests[team]; ok {
 		if now.Sub(req.at) > grantRequestTTL {
 			delete(g.grants.requests, team)
-		} else if amount, ok := increasedGrant(current, used, req.size, g.queue.Demand()[team], cell.Pool(team)); ok {
+		} else if amount, ok := increasedGrant(current, used, req.size, g.queue.Demand()[team], cell.Ungranted(team)); ok {
 			delete(g.grants.requests, team)
 			return config.Grant{Team: team, Amount: amount}, true
 		}
@@ -183,27 +183,27 @@
 }
 
 // increasedGrant returns a larger grant that covers the next waiting item, and of
-// the remaining demand as much as 1/poolDivisor of the pool allows. It returns
+// the remaining demand as much as 1/ungrantedDivisor of the pool allows. It returns
 // false if the grant suffices already or the pool is too small for the next item.
 func increasedGrant(current, used, next, demand, pool jobs.Size) (jobs.Size, bool) {
 	maximum := current.Plus(pool)
 	need := used.Plus(next)
-	if !need.Fits(maximum) || need.Fits(current) {
+	if !need.FitsIn(maximum) || need.FitsIn(current) {
 		return jobs.Size{}, false
 	}
-	extended := current.Plus(pool.Scaled(jobs.Size{CPU: 1, Mem: 1, Accel: 1}, jobs.Size{CPU: poolDivisor, Mem: poolDivisor, Accel: poolDivisor}))
-	return need.Most(used.Plus(demand).Least(extended)).Most(current).Least(maximum), true
+	extended := current.Plus(pool.Scaled(jobs.Size{CPU: 1, Mem: 1, Accel: 1}, jobs.Size{CPU: ungrantedDivisor, Mem: ungrantedDivisor, Accel: ungrantedDivisor}))
+	return need.Max(used.Plus(demand).Min(extended)).Max(current).Min(maximum), true
 }
 
-// poolDivisor bounds the part of the pool that one increase takes for more than
+// ungrantedDivisor bounds the part of the pool that one increase takes for more than
 // the next item. The rest stays available to other groups.
-const poolDivisor = 4
+const ungrantedDivisor = 4
 
 // decreasedGrant returns a grant reduced to the current use, once the excess has
 // been idle for long enough. A grant that no other group requests is kept while
 // the team has waiting work. The caller holds the lock.
 func (g *Group) decreasedGrant(team string, current, used jobs.Size, contested bool, now time.Time) (config.Grant, bool) {
-	if current.Fits(used) {
+	if current.FitsIn(used) {
 		delete(g.grants.idleSince, team)
 		return config.Grant{}, false
 	}
@@ -220,19 +220,19 @@
 		return config.Grant{}, false
 	}
 	delete(g.grants.idleSince, team)
-	lowered := used.Least(current)
+	lowered := used.Min(current)
 	g.grants.reduced[team] = lowered
 	return config.Grant{Team: team, Amount: lowered}, true
 }
 
 // tasksOverLimit returns the placed tasks to stop because their team's use exceeds
-// its ceiling. It selects them in the order of stopOrder. The caller holds the
+// its effective limit. It selects them in the order of stopOrder. The caller holds the
 // lock.
 func (g *Group) tasksOverLimit() map[jobs.Ref]bool {
 	cell := g.cfg.Cell.State()
 	over := map[jobs.Ref]bool{}
 	for team, used := range g.state.Used {
-		excess := used.Minus(g.ceiling(team, cell)).Most(jobs.Size{})
+		excess := used.Minus(g.effectiveLimit(team, cell)).Max(jobs.Size{})
 		if excess.IsZero() {
 			continue
 		}
@@ -241,7 +241,7 @@
 				break
 			}
 			over[ref] = true
-			excess = excess.Minus(g.state.Jobs[ref.Job].Spec.Size).Most(jobs.Size{})
+			excess = excess.Minus(g.state.Jobs[ref.Job].Spec.Size).Max(jobs.Size{})
 		}
 	}
 	return over
--- a/internal/node/owner/group.go
+++ b/internal/node/owner/group.go
@@ -45,7 +45,7 @@
 	"lagooncourse/internal/base/clock"
 	"lagooncourse/internal/base/fault"
 	"lagooncourse/internal/base/frame"
-	"lagooncourse/internal/cell/books"
+	"lagooncourse/internal/cell/alloc"
 	"lagooncourse/internal/cell/config"
 	"lagooncourse/internal/cell/group"
 	"lagooncourse/internal/cell/jobs"
@@ -63,47 +63,47 @@
 	Reserve(ctx context.Context, msg wire.ReserveMsg) (wire.ReserveAnswer, error)
 	Start(ctx context.Context, msg wire.StartMsg) (wire.StartAnswer, error)
 	Stop(ctx context.Context, msg wire.StopMsg) error
-	// Where queries the state of attempts at the group of their workers.
-	Where(ctx context.Context, msg wire.WhereMsg) (wire.WhereAnswer, error)
+	// AttemptStatus queries the state of attempts at the group of their workers.
+	AttemptStatus(ctx context.Context, msg wire.AttemptStatusMsg) (wire.AttemptStatusAnswer, error)
 	// Report reports ends of attempts to the home group of their jobs.
 	Report(ctx context.Context, msg wire.ReportMsg) (wire.ReportAnswer, error)
-	// Duties lists the groups that live entry hosts own.
-	Duties() []wire.Duty
+	// Groups lists the groups that live entry hosts own.
+	Groups() []wire.GroupInfo
 	// MayClaim reports whether this host may claim the group although, according
 	// to the log, holder owns its newest epoch.
-	MayClaim(name string, epoch uint64, holder group.Holder) bool
+	MayClaim(name string, epoch uint64, owner group.Owner) bool
 }
 
 // Cell reads and changes the configuration that all groups of the cell share.
 type Cell interface {
 	State() *config.State
-	// Fresh returns an error unless the state is known to be recent enough to
+	// CheckFresh returns an error unless the state is known to be recent enough to
 	// start work under it.
-	Fresh() error
-	// Change appends a change of grants. It returns nil once the change has been
+	CheckFresh() error
+	// ChangeGrants appends a change of grants. It returns nil once the change has been
 	// applied, or is void because a later one was applied before it.
-	Change(ctx context.Context, g config.Grants) error
+	ChangeGrants(ctx context.Context, g config.Grants) error
 }
 
 // Timing holds the group's intervals, timeouts and limits.
 type Timing struct {
-	Commit     time.Duration // minimum interval between two appends of the group
-	Renew      time.Duration // how long a worker may hold a renewal open
-	Lease      time.Duration // granted to a worker with every renewal
-	Margin     time.Duration // allowance for clock drift between two hosts
-	Reserve    time.Duration // lifetime of a reservation
-	Reconcile  time.Duration // interval between checks of unconfirmed attempts
-	Keep       time.Duration // retention of ended jobs and of calls
-	Snapshot   time.Duration // maximum interval between two snapshots
-	SnapshotAt int64         // records since the last snapshot that trigger the next
+	CommitInterval    time.Duration // minimum interval between two appends of the group
+	RenewWait         time.Duration // how long a worker may hold a renewal open
+	Lease             time.Duration // granted to a worker with every renewal
+	ClockMargin       time.Duration // allowance for clock drift between two hosts
+	Reserve           time.Duration // lifetime of a reservation
+	ReconcileInterval time.Duration // interval between checks of unconfirmed attempts
+	Retention         time.Duration // retention of ended jobs and of calls
+	SnapshotInterval  time.Duration // maximum interval between two snapshots
+	SnapshotRecords   int64         // records since the last snapshot that trigger the next
 }
 
 // DefaultTiming returns the timing used unless the settings override it.
 func DefaultTiming() Timing {
 	return Timing{
-		Commit: 25 * time.Millisecond, Renew: 2 * time.Second, Lease: 8 * time.Second, Margin: time.Second,
-		Reserve: 3 * time.Second, Reconcile: time.Second, Keep: 24 * time.Hour, Snapshot: 10 * time.Minute,
-		SnapshotAt: 5000,
+		CommitInterval: 25 * time.Millisecond, RenewWait: 2 * time.Second, Lease: 8 * time.Second, ClockMargin: time.Second,
+		Reserve: 3 * time.Second, ReconcileInterval: time.Second, Retention: 24 * time.Hour, SnapshotInterval: 10 * time.Minute,
+		SnapshotRecords: 5000,
 	}
 }
 
@@ -111,8 +111,8 @@
 type Config struct {
 	Name   string
 	Az     string
-	Self   group.Holder // this host, as recorded in claims
-	Log    stream.Log   // holds the streams of all groups
+	Self   group.Owner // this host, as recorded in claims
+	Log    stream.Log  // holds the streams of all groups
 	Cell   Cell
 	Remote Remote
 	Dial   func(hosts.Worker) worker.Worker // returns a client of the worker
@@ -136,8 +136,8 @@
 	wanted        bool   // this host should own the group
 	releasing     bool   // a handover is in progress; new calls are refused
 	ownedAt       time.Time
-	books         *books.Books
-	trust         *trust.Trust
+	allocations   *alloc.Allocations
+	trust         *trust.Tracker
 	queue         *queue.Queue
 	workers       []hosts.Worker
 	renewers      map[string]*leaseRenewer // worker id -> its lease renewer
@@ -147,9 +147,9 @@
 	delayed       map[jobs.Ref]queue.Item // kept out of the queue until retryAt
 	retryAt       map[jobs.Ref]time.Time
 	placingByTeam map[string]jobs.Size     // team -> total size being placed
-	confirmed     map[books.Attempt]uint64 // attempt -> epoch of the worker's group that confirmed it
+	confirmed     map[alloc.Attempt]uint64 // attempt -> epoch of the worker's group that confirmed it
 	reasons       map[jobs.ID][]string     // recent explanations of a job's status, newest last
-	inflight      map[string]*inflightCall // group.SubKey of team and call id -> call in progress
+	inflight      map[string]*inflightCall // group.RequestKey of team and call id -> call in progress
 	grants        grantState
 	lastSnapshot  time.Time
 	lastPurge     time.Time
@@ -162,10 +162,10 @@
 	Commits      int64 `json:"commits"`
 	Records      int64 `json:"records"`
 	Starts       int64 `json:"starts"`
-	Takeover     int64 `json:"takeovers"` // claims by this host
+	Takeovers    int64 `json:"takeovers"` // claims by this host
 	Fenced       int64 `json:"fenced"`    // losses of ownership without a release
 	UnsureStarts int64 `json:"unsureStarts"`
-	Evicted      int64 `json:"evicted"`    // batch tasks stopped for urgent tasks
+	Preempted    int64 `json:"evicted"`    // batch tasks stopped for urgent tasks
 	Rebalanced   int64 `json:"rebalanced"` // stop requests for teams below their fair share
 }
 
@@ -194,7 +194,7 @@
 func (g *Group) reset() {
 	g.state = group.NewState(g.cfg.Name)
 	g.replay = &stream.Replay{Stream: group.StreamOf(g.cfg.Name), Machine: g.state}
-	g.books = books.New()
+	g.allocations = alloc.New()
 	g.trust = trust.New(trust.Config{})
 	g.queue = queue.New(queue.Config{Policy: g.cfg.Policy})
 	g.renewers = map[string]*leaseRenewer{}
@@ -203,7 +203,7 @@
 	g.delayed = map[jobs.Ref]queue.Item{}
 	g.retryAt = map[jobs.Ref]time.Time{}
 	g.placingByTeam = map[string]jobs.Size{}
-	g.confirmed = map[books.Attempt]uint64{}
+	g.confirmed = map[alloc.Attempt]uint64{}
 	g.reasons = map[jobs.ID][]string{}
 	g.inflight = map[string]*inflightCall{}
 	g.grants = newGrantState()
@@ -223,11 +223,11 @@
 	return g.epoch
 }
 
-// Want sets whether this host should own the group. True starts a claim, false
+// SetWanted sets whether this host should own the group. True starts a claim, false
 // starts a handover.
-func (g *Group) Want(want bool) {
+func (g *Group) SetWanted(wanted bool) {
 	g.mu.Lock()
-	g.wanted = want
+	g.wanted = wanted
 	g.mu.Unlock()
 	g.wakeLoop()
 }
@@ -242,23 +242,23 @@
 	}
 }
 
-// Duty returns the group's description for peers, or false if this host does
+// Info returns the group's description for peers, or false if this host does
 // not own the group.
-func (g *Group) Duty() (wire.Duty, bool) {
+func (g *Group) Info() (wire.GroupInfo, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.epoch == 0 {
-		return wire.Duty{}, false
+		return wire.GroupInfo{}, false
 	}
-	d := wire.Duty{Group: g.cfg.Name, Epoch: g.epoch, Az: g.cfg.Az, Used: map[string]jobs.Size{}}
-	d.Capacity = g.books.Capacity()
-	d.Free, d.Largest = g.books.Free()
+	d := wire.GroupInfo{Group: g.cfg.Name, Epoch: g.epoch, Az: g.cfg.Az, Used: map[string]jobs.Size{}}
+	d.Capacity = g.allocations.Capacity()
+	d.Free, d.Largest = g.allocations.Free()
 	for team, used := range g.state.Used {
 		d.Used[team] = used
 	}
-	d.Wanting, d.Waiting = g.grants.requesting(g.cfg.Clock.Now()), map[string]jobs.Size{}
+	d.Requesting, d.Queued = g.grants.requesting(g.cfg.Clock.Now()), map[string]jobs.Size{}
 	for team, size := range g.queue.Demand() {
-		d.Waiting[team] = size
+		d.Queued[team] = size
 	}
 	return d, true
 }
@@ -320,10 +320,10 @@
 // grant record without changes under the new epoch, so that late grant records of
 // earlier owners have no effect.
 func (g *Group) claim(ctx context.Context) (err error) {
-	defer fault.Note(&err, "claim group %q", g.cfg.Name)
+	defer fault.Annotate(&err, "claim group %q", g.cfg.Name)
 	g.mu.Lock()
 	g.reset()
-	g.state.Watch = (*taskObserver)(g)
+	g.state.Observer = (*taskObserver)(g)
 	replay := g.replay
 	g.mu.Unlock()
 	if err := g.catchUp(ctx, replay); err != nil {
@@ -340,7 +340,7 @@
 	if err != nil {
 		return err
 	}
-	if _, err := g.cfg.Log.Append(ctx, replay.Stream, data); fault.RanOf(err) == fault.NotRun {
+	if _, err := g.cfg.Log.Append(ctx, replay.Stream, data); fault.OutcomeOf(err) == fault.NotRun {
 		return err
 	}
 	if err := g.catchUp(ctx, replay); err != nil {
@@ -349,7 +349,7 @@
 	if g.state.Epoch != epoch || g.state.Owner != g.cfg.Self {
 		return fault.New(fault.Conflict, fault.NotRun, "epoch %d was claimed by host %q", g.state.Epoch, g.state.Owner.Host)
 	}
-	if err := g.cfg.Cell.Change(ctx, config.Grants{Group: g.cfg.Name, Fence: config.Fence{Epoch: epoch, Seq: 1}}); err != nil {
+	if err := g.cfg.Cell.ChangeGrants(ctx, config.Grants{Group: g.cfg.Name, FencingToken: config.FencingToken{Epoch: epoch, Seq: 1}}); err != nil {
 		return err
 	}
 	g.startEpoch(epoch)
@@ -383,7 +383,7 @@
 	now := g.cfg.Clock.Now()
 	g.epoch, g.ownedAt, g.lastSnapshot, g.lastPurge = epoch, now, now, now
 	g.grants.seq = 1
-	g.stats.Takeover++
+	g.stats.Takeovers++
 	g.syncWorkers()
 	g.logger.Info("claimed group", "epoch", epoch, "jobs", len(g.state.Jobs), "queued", g.queue.Len())
 }
@@ -393,7 +393,7 @@
 	runCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	// The end of ctx starts a handover. The loops run until it is complete.
-	defer context.AfterFunc(ctx, func() { g.Want(false) })()
+	defer context.AfterFunc(ctx, func() { g.SetWanted(false) })()
 	g.startRenewers(runCtx)
 	background := g.startBackground(runCtx)
 	for {
--- a/internal/node/owner/house.go
+++ b/internal/node/owner/maintain.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"lagooncourse/internal/cell/books"
+	"lagooncourse/internal/cell/alloc"
 	"lagooncourse/internal/cell/group"
 	"lagooncourse/internal/cell/jobs"
 	"lagooncourse/internal/plat/worker"
@@ -37,8 +37,8 @@
 func (g *Group) snapshot(ctx context.Context) {
 	g.mu.Lock()
 	records, _ := g.replay.SinceSnapshot()
-	due := records >= g.cfg.Timing.SnapshotAt ||
-		records > 0 && g.cfg.Clock.Now().Sub(g.lastSnapshot) >= g.cfg.Timing.Snapshot
+	due := records >= g.cfg.Timing.SnapshotRecords ||
+		records > 0 && g.cfg.Clock.Now().Sub(g.lastSnapshot) >= g.cfg.Timing.SnapshotInterval
 	if !due || g.epoch == 0 || g.logDown {
 		g.mu.Unlock()
 		return
@@ -80,12 +80,12 @@
 		return
 	}
 	g.lastPurge = now
-	before := now.Add(-g.cfg.Timing.Keep).UnixMilli()
-	_ = g.propose(proposal{records: []group.Record{{Forget: &group.Forget{BeforeMs: before}}}})
+	before := now.Add(-g.cfg.Timing.Retention).UnixMilli()
+	_ = g.propose(proposal{records: []group.Record{{Purge: &group.Purge{BeforeMs: before}}}})
 }
 
 // toWorkerAttempt converts an attempt for the worker client.
-func toWorkerAttempt(at books.Attempt) worker.Attempt {
+func toWorkerAttempt(at alloc.Attempt) worker.Attempt {
 	return worker.Attempt{Task: at.Task, Number: at.Number}
 }
 
@@ -131,13 +131,13 @@
 	}
 	d.Seq, d.Offset, d.Jobs = g.state.Seq, g.replay.Next()-1, len(g.state.Jobs)
 	d.Queued, d.Placing = g.queue.Len()+len(g.delayed), len(g.placing)
-	d.Capacity = g.books.Capacity()
-	d.Free, _ = g.books.Free()
+	d.Capacity = g.allocations.Capacity()
+	d.Free, _ = g.allocations.Free()
 	for team, used := range g.state.Used {
 		d.Used[team] = used
 	}
-	for _, id := range g.books.Workers() {
-		wd := WorkerDump{ID: id, Ready: g.books.Ready(id), Tasks: len(g.books.Running(id)), Trust: g.trust.State(id, g.nowMs()).String()}
+	for _, id := range g.allocations.Workers() {
+		wd := WorkerDump{ID: id, Ready: g.allocations.Ready(id), Tasks: len(g.allocations.Running(id)), Trust: g.trust.State(id, g.nowMs()).String()}
 		if lr := g.renewers[id]; lr != nil {
 			wd.Lost, wd.Failures = lr.lost, lr.failures
 		}
--- a/internal/node/owner/watch.go
+++ b/internal/node/owner/observer.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"lagooncourse/internal/cell/books"
+	"lagooncourse/internal/cell/alloc"
 	"lagooncourse/internal/cell/group"
 	"lagooncourse/internal/cell/jobs"
 	"lagooncourse/internal/cell/queue"
@@ -24,7 +24,7 @@
 	t := j.Tasks[index]
 	ref := jobs.Ref{Job: j.ID, Index: index}
 	if before.State == jobs.Placed && t.State != jobs.Placed {
-		delete(g.confirmed, books.Attempt{Task: ref.String(), Number: t.Attempt})
+		delete(g.confirmed, alloc.Attempt{Task: ref.String(), Number: t.Attempt})
 	}
 	if j.EndMs > 0 {
 		delete(g.reasons, j.ID)
@@ -72,7 +72,7 @@
 func queueItem(j *jobs.Job, index int) queue.Item {
 	it := queue.Item{
 		Ref: jobs.Ref{Job: j.ID, Index: index}, Team: j.Spec.Team, Kind: j.Spec.Kind,
-		Size: j.Spec.Size, Count: 1, Az: j.Spec.Az, AtMs: j.SubmitMs,
+		Size: j.Spec.Size, Count: 1, Az: j.Spec.Az, WaitingSinceMs: j.SubmitMs,
 	}
 	if j.Spec.Kind == jobs.Gang {
 		it.Count = waitingTasks(j)
--- a/internal/node/owner/owner_test.go
+++ b/internal/node/owner/owner_test.go
@@ -12,7 +12,7 @@
 	"lagooncourse/internal/base/fault"
 	"lagooncourse/internal/base/logs"
 	"lagooncourse/internal/base/polls"
-	"lagooncourse/internal/cell/books"
+	"lagooncourse/internal/cell/alloc"
 	"lagooncourse/internal/cell/config"
 	"lagooncourse/internal/cell/group"
 	"lagooncourse/internal/cell/jobs"
@@ -46,11 +46,11 @@
 }
 
 // fixedCell is a configuration that never changes.
-type fixedCell struct{ m *config.Machine }
+type fixedCell struct{ m *config.StateMachine }
 
-func (c fixedCell) State() *config.State                        { return c.m.State() }
-func (c fixedCell) Fresh() error                                { return nil }
-func (c fixedCell) Change(context.Context, config.Grants) error { return nil }
+func (c fixedCell) State() *config.State                              { return c.m.State() }
+func (c fixedCell) CheckFresh() error                                 { return nil }
+func (c fixedCell) ChangeGrants(context.Context, config.Grants) error { return nil }
 
 // noRemote reaches no group: Report fails, and the methods it does not define
 // panic.
@@ -60,8 +60,8 @@
 	return wire.ReportAnswer{}, notOwner("b-0")
 }
 
-func (noRemote) Duties() []wire.Duty                        { return nil }
-func (noRemote) MayClaim(string, uint64, group.Holder) bool { return true }
+func (noRemote) Groups() []wire.GroupInfo                  { return nil }
+func (noRemote) MayClaim(string, uint64, group.Owner) bool { return true }
 
 // idleWorker is a worker with an empty inventory.
 type idleWorker struct{ worker.Worker }
@@ -80,7 +80,7 @@
 	t.Helper()
 	log := &memLog{}
 	g := New(Config{
-		Name: "a-0", Az: "a", Self: group.Holder{Host: "e1"}, Log: log, Cell: fixedCell{config.NewMachine()},
+		Name: "a-0", Az: "a", Self: group.Owner{Host: "e1"}, Log: log, Cell: fixedCell{config.NewStateMachine()},
 		Remote: noRemote{}, Dial: func(hosts.Worker) worker.Worker { return idleWorker{} },
 		Clock: clock.System{}, Logger: logs.Discard(), Timing: DefaultTiming(),
 	})
@@ -95,7 +95,7 @@
 		cancel()
 		<-ended
 	})
-	g.Want(true)
+	g.SetWanted(true)
 	until(t, func() bool { return g.Epoch() == 1 && g.Dump().Workers[0].Ready })
 	return g, log
 }
@@ -109,24 +109,24 @@
 // appendOtherClaim appends another host's claim of the next epoch.
 func appendOtherClaim(t *testing.T, log *memLog) {
 	t.Helper()
-	data, err := encodeBatch(group.Batch{Epoch: 2, Claim: &group.Holder{Host: "e2"}})
+	data, err := encodeBatch(group.Batch{Epoch: 2, Claim: &group.Owner{Host: "e2"}})
 	assert.NilError(t, err)
 	_, err = log.Append(context.Background(), "", data)
 	assert.NilError(t, err)
 }
 
-// TestAbsentOnlyFromOwner checks that Where reports an attempt as absent only
+// TestAbsentOnlyFromOwner checks that AttemptStatus reports an attempt as absent only
 // while the log shows this host as the group's owner.
 func TestAbsentOnlyFromOwner(t *testing.T) {
 	g, log := newOwnedGroup(t)
-	msg := wire.WhereMsg{Group: "a-0", Queries: []books.Query{{Attempt: books.Attempt{Task: "b-0.1/0", Number: 1}, Worker: "w1", Boot: 7}}}
-	a, err := g.Where(context.Background(), msg)
+	msg := wire.AttemptStatusMsg{Group: "a-0", Queries: []alloc.Query{{Attempt: alloc.Attempt{Task: "b-0.1/0", Number: 1}, Worker: "w1", Boot: 7}}}
+	a, err := g.AttemptStatus(context.Background(), msg)
 	assert.NilError(t, err)
-	assert.Equal(t, a.Places[0], books.Absent)
+	assert.Equal(t, a.Statuses[0], alloc.StatusAbsent)
 	appendOtherClaim(t, log)
 	msg.Queries[0].Attempt.Number = 2
-	_, err = g.Where(context.Background(), msg)
-	assert.Assert(t, fault.Is(err, fault.NotOwner), "%v", err)
+	_, err = g.AttemptStatus(context.Background(), msg)
+	assert.Assert(t, fault.HasCode(err, fault.NotOwner), "%v", err)
 }
 
 // TestLossOnlyByOwner checks that the attempts on a worker with an expired lease
@@ -134,9 +134,9 @@
 func TestLossOnlyByOwner(t *testing.T) {
 	for _, lost := range []bool{true, false} {
 		g, log := newOwnedGroup(t)
-		at := books.Attempt{Task: "b-0.1/0", Number: 1}
+		at := alloc.Attempt{Task: "b-0.1/0", Number: 1}
 		g.mu.Lock()
-		g.books.Inventory("w1", books.Inventory{Boot: 7, Seen: []books.Seen{{Attempt: at, Home: "b-0", Kind: jobs.Batch}}})
+		g.allocations.ApplyInventory("w1", alloc.Inventory{Boot: 7, Attempts: []alloc.ReportedAttempt{{Attempt: at, Home: "b-0", Kind: jobs.Batch}}})
 		lr := g.renewers["w1"]
 		g.mu.Unlock()
 		if !lost {
@@ -144,7 +144,7 @@
 		}
 		g.markWorkerLost(lr, 1, fault.New(fault.Timeout, fault.Unknown, "no answer"))
 		g.mu.Lock()
-		reports := g.books.Reports()["b-0"]
+		reports := g.allocations.Reports()["b-0"]
 		g.mu.Unlock()
 		assert.Equal(t, len(reports) == 1, lost)
 	}
@@ -157,7 +157,7 @@
 	appendOtherClaim(t, log)
 	spec := jobs.Spec{Name: "survey", Kind: jobs.Batch, Team: "lab", Submission: "s", Tasks: 1, Size: jobs.Size{CPU: 1}, RunMs: 1}
 	_, err := g.Submit(context.Background(), spec)
-	assert.Equal(t, fault.RanOf(err), fault.NotRun, "%v", err)
+	assert.Equal(t, fault.OutcomeOf(err), fault.NotRun, "%v", err)
 	replay := &stream.Replay{Machine: group.NewState("a-0")}
 	p, err := log.Read(context.Background(), stream.ReadRequest{})
 	assert.NilError(t, err)
@@ -171,14 +171,14 @@
 // before it is recorded.
 func TestRecordedOnlyByOwner(t *testing.T) {
 	g, log := newOwnedGroup(t)
-	msg := wire.ReportMsg{Group: "a-0", Reports: []books.Report{
-		{Attempt: books.Attempt{Task: "a-0.1/0", Number: 1}, Worker: "w1", How: jobs.EndOK},
+	msg := wire.ReportMsg{Group: "a-0", Reports: []alloc.Report{
+		{Attempt: alloc.Attempt{Task: "a-0.1/0", Number: 1}, Worker: "w1", Reason: jobs.EndOK},
 	}}
 	a, err := g.Report(context.Background(), msg)
 	assert.NilError(t, err)
 	assert.Equal(t, len(a.Recorded), 1)
 	appendOtherClaim(t, log)
 	a, err = g.Report(context.Background(), msg)
-	assert.Assert(t, fault.Is(err, fault.NotOwner), "%v", err)
+	assert.Assert(t, fault.HasCode(err, fault.NotOwner), "%v", err)
 	assert.Equal(t, len(a.Recorded), 0)
 }
--- a/internal/node/owner/place.go
+++ b/internal/node/owner/place.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"lagooncourse/internal/base/fault"
-	"lagooncourse/internal/cell/books"
+	"lagooncourse/internal/cell/alloc"
 	"lagooncourse/internal/cell/config"
 	"lagooncourse/internal/cell/group"
 	"lagooncourse/internal/cell/jobs"
@@ -28,11 +28,11 @@
 
 // placement is the placing of one queue item, in progress.
 type placement struct {
-	epoch uint64 // epoch in which the placement began
-	item  queue.Item
-	tasks []jobs.Ref
-	asks  []books.Ask
-	sites []jobs.Site // group and worker of each attempt
+	epoch      uint64 // epoch in which the placement began
+	item       queue.Item
+	tasks      []jobs.Ref
+	requests   []alloc.ReserveRequest
+	placements []jobs.Placement // group and worker of each attempt
 }
 
 // schedule places waiting items in one pass over the queue. It does nothing while
@@ -43,12 +43,12 @@
 		g.mu.Unlock()
 		return
 	}
-	if err := g.cfg.Cell.Fresh(); err != nil {
+	if err := g.cfg.Cell.CheckFresh(); err != nil {
 		g.mu.Unlock()
 		return
 	}
 	g.requeueDue()
-	g.books.Lapse(g.nowMs())
+	g.allocations.ExpireReservations(g.nowMs())
 	remote := g.placeItems()
 	g.mu.Unlock()
 	for _, p := range remote {
@@ -138,7 +138,7 @@
 			p.Blocked(it) // other items of this shape do not fit here either
 		default:
 			g.explain(it.Ref.Job, "no worker of the group has enough free capacity for "+it.Size.String())
-			g.evict(pl, cell)
+			g.preempt(pl, cell)
 			p.Blocked(it)
 		}
 	}
@@ -147,19 +147,19 @@
 
 // azAllows reports whether the item may run in the group's availability zone.
 func (g *Group) azAllows(it queue.Item, cell *config.State) bool {
-	return !cell.AzOut(g.cfg.Az) && (it.Az == "" || it.Az == g.cfg.Az)
+	return !cell.AzOutOfService(g.cfg.Az) && (it.Az == "" || it.Az == g.cfg.Az)
 }
 
 // policyView returns the input of the queue policy, and the size of each team's
 // waiting work in the whole fleet. The caller holds the lock.
-func (g *Group) policyView(cell *config.State) (v queue.View, waiting map[string]jobs.Size) {
-	v = queue.View{NowMs: g.nowMs(), Used: map[string]jobs.Size{}, Share: map[string]int64{}}
+func (g *Group) policyView(cell *config.State) (v queue.FleetView, waiting map[string]jobs.Size) {
+	v = queue.FleetView{NowMs: g.nowMs(), Used: map[string]jobs.Size{}, Weights: map[string]int64{}}
 	waiting = map[string]jobs.Size{}
 	for team, size := range g.queue.Demand() {
 		waiting[team] = size
 	}
-	for _, d := range g.cfg.Remote.Duties() {
-		if !cell.AzOut(d.Az) {
+	for _, d := range g.cfg.Remote.Groups() {
+		if !cell.AzOutOfService(d.Az) {
 			v.Fleet = v.Fleet.Plus(d.Capacity)
 		}
 		if d.Group == g.cfg.Name {
@@ -168,7 +168,7 @@
 		for team, used := range d.Used {
 			v.Used[team] = v.Used[team].Plus(used)
 		}
-		for team, size := range d.Waiting {
+		for team, size := range d.Queued {
 			waiting[team] = waiting[team].Plus(size)
 		}
 	}
@@ -176,7 +176,7 @@
 		v.Used[team] = v.Used[team].Plus(used)
 	}
 	for team, p := range cell.Plans {
-		v.Share[team] = p.Share
+		v.Weights[team] = p.Share
 	}
 	return v, waiting
 }
@@ -185,11 +185,11 @@
 // it can. It requests a larger grant if one would allow the start. The caller
 // holds the lock.
 func (g *Group) blockReason(it queue.Item, cell *config.State) string {
-	if !it.Total().Fits(cell.Limit(it.Team)) {
+	if !it.Total().FitsIn(cell.Limit(it.Team)) {
 		return fmt.Sprintf("needs %s, more than the limit of team %q", it.Total(), it.Team)
 	}
 	used := g.state.Used[it.Team].Plus(g.placingByTeam[it.Team])
-	if !used.Plus(it.Total()).Fits(g.ceiling(it.Team, cell)) {
+	if !used.Plus(it.Total()).FitsIn(g.effectiveLimit(it.Team, cell)) {
 		g.grants.request(it.Team, it.Total(), g.cfg.Clock.Now())
 		return fmt.Sprintf("waits for a larger grant under the limit of team %q", it.Team)
 	}
@@ -207,9 +207,9 @@
 			continue
 		}
 		ref := jobs.Ref{Job: it.Ref.Job, Index: i}
-		at := books.Attempt{Task: ref.String(), Number: j.Tasks[i].Attempt + 1}
+		at := alloc.Attempt{Task: ref.String(), Number: j.Tasks[i].Attempt + 1}
 		pl.tasks = append(pl.tasks, ref)
-		pl.asks = append(pl.asks, books.Ask{Attempt: at, Home: g.cfg.Name, Kind: it.Kind, Size: it.Size, UntilMs: until, Again: j.Spec.Idempotent})
+		pl.requests = append(pl.requests, alloc.ReserveRequest{Attempt: at, Home: g.cfg.Name, Kind: it.Kind, Size: it.Size, UntilMs: until, Idempotent: j.Spec.Idempotent})
 	}
 	return pl
 }
@@ -217,30 +217,30 @@
 // reserveLocal reserves capacity for all attempts of a placement on the group's
 // own workers, or for none. The caller holds the lock.
 func (g *Group) reserveLocal(pl *placement) bool {
-	slots, ok := reserveAll(g.books, pl.asks, g.nowMs())
+	slots, ok := reserveAll(g.allocations, pl.requests, g.nowMs())
 	if !ok {
 		return false
 	}
-	pl.sites = toSites(g.cfg.Name, slots)
+	pl.placements = toPlacements(g.cfg.Name, slots)
 	return true
 }
 
-// toSites returns the sites of the slots reserved in a group.
-func toSites(group string, slots []books.Slot) []jobs.Site {
-	list := make([]jobs.Site, len(slots))
+// toPlacements returns the placements of the slots reserved in a group.
+func toPlacements(group string, slots []alloc.Slot) []jobs.Placement {
+	list := make([]jobs.Placement, len(slots))
 	for i, s := range slots {
-		list[i] = jobs.Site{Group: group, Worker: s.Worker, Boot: s.Boot}
+		list[i] = jobs.Placement{Group: group, Worker: s.Worker, Boot: s.Boot}
 	}
 	return list
 }
 
-// reserveAll reserves capacity for all asks, or for none.
-func reserveAll(b *books.Books, asks []books.Ask, nowMs int64) ([]books.Slot, bool) {
-	slots := make([]books.Slot, 0, len(asks))
-	for i, ask := range asks {
-		s, ok := b.Reserve(ask, nowMs)
+// reserveAll reserves capacity for all requests, or for none.
+func reserveAll(b *alloc.Allocations, requests []alloc.ReserveRequest, nowMs int64) ([]alloc.Slot, bool) {
+	slots := make([]alloc.Slot, 0, len(requests))
+	for i, req := range requests {
+		s, ok := b.Reserve(req, nowMs)
 		if !ok {
-			for _, reserved := range asks[:i] {
+			for _, reserved := range requests[:i] {
 				b.Cancel(reserved.Attempt)
 			}
 			return nil, false
@@ -280,7 +280,7 @@
 	records := make([]group.Record, len(pl.tasks))
 	for i, ref := range pl.tasks {
 		records[i] = group.Record{Start: &group.Start{
-			Ref: ref, Attempt: pl.asks[i].Attempt.Number, Site: pl.sites[i], AtMs: g.nowMs(),
+			Ref: ref, Attempt: pl.requests[i].Attempt.Number, Placement: pl.placements[i], AtMs: g.nowMs(),
 		}}
 	}
 	err := g.propose(proposal{records: records, done: func(err error) { g.startsCommitted(pl, err) }})
@@ -296,8 +296,8 @@
 		return
 	}
 	g.endPlacing(pl)
-	for _, ask := range pl.asks {
-		g.books.Cancel(ask.Attempt)
+	for _, req := range pl.requests {
+		g.allocations.Cancel(req.Attempt)
 	}
 	g.explain(pl.item.Ref.Job, reason)
 	if g.stillWaiting(pl.item) {
@@ -329,14 +329,14 @@
 	}
 	g.endPlacing(pl)
 	for i, ref := range pl.tasks {
-		t, ok := g.placedTask(ref, pl.asks[i].Attempt.Number)
+		t, ok := g.placedTask(ref, pl.requests[i].Attempt.Number)
 		if !ok {
-			g.books.Cancel(pl.asks[i].Attempt)
+			g.allocations.Cancel(pl.requests[i].Attempt)
 			continue
 		}
 		g.stats.Starts++
 		msg := wire.StartMsg{
-			Group: t.Group, Attempt: pl.asks[i].Attempt, Home: g.cfg.Name,
+			Group: t.Group, Attempt: pl.requests[i].Attempt, Home: g.cfg.Name,
 			Spec: g.state.Jobs[ref.Job].Spec, Checkpoint: t.Checkpoint,
 		}
 		g.explain(ref.Job, fmt.Sprintf("task %d attempt %d placed on worker %q of group %q", ref.Index, t.Attempt, t.Worker, t.Group))
@@ -354,7 +354,7 @@
 	}
 	if !ok {
 		g.cancelPlacement(pl, "no group has enough free capacity for "+pl.item.Size.String())
-		g.evict(pl, g.cfg.Cell.State())
+		g.preempt(pl, g.cfg.Cell.State())
 		return
 	}
 	g.proposeStarts(pl)
@@ -369,20 +369,20 @@
 // for all of it.
 func (g *Group) reserveRemote(ctx context.Context, pl *placement) bool {
 	cell := g.cfg.Cell.State()
-	for _, d := range candidateGroups(g.cfg.Remote.Duties(), pl.item, cell) {
+	for _, d := range candidateGroups(g.cfg.Remote.Groups(), pl.item, cell) {
 		if d.Group == g.cfg.Name {
 			continue
 		}
 		rctx, cancel := context.WithTimeout(ctx, reserveTimeout)
 		a, err := g.cfg.Remote.Reserve(rctx, wire.ReserveMsg{
-			Group: d.Group, Asks: pl.asks, TTLMs: g.cfg.Timing.Reserve.Milliseconds(),
+			Group: d.Group, Requests: pl.requests, TTLMs: g.cfg.Timing.Reserve.Milliseconds(),
 		})
 		cancel()
-		if err == nil && len(a.Slots) == len(pl.asks) {
-			pl.sites = toSites(d.Group, a.Slots)
+		if err == nil && len(a.Slots) == len(pl.requests) {
+			pl.placements = toPlacements(d.Group, a.Slots)
 			return true
 		}
-		if err != nil && fault.RanOf(err) == fault.Unknown {
+		if err != nil && fault.OutcomeOf(err) == fault.Unknown {
 			// The reservation may exist. It expires, but until then the same
 			// attempt must not be reserved at a second group.
 			return false
@@ -393,13 +393,13 @@
 
 // candidateGroups returns the groups whose free capacity may suffice for the item,
 // the group with the least free CPU first.
-func candidateGroups(duties []wire.Duty, it queue.Item, cell *config.State) []wire.Duty {
-	var list []wire.Duty
-	for _, d := range duties {
-		if cell.AzOut(d.Az) || it.Az != "" && it.Az != d.Az {
+func candidateGroups(groups []wire.GroupInfo, it queue.Item, cell *config.State) []wire.GroupInfo {
+	var list []wire.GroupInfo
+	for _, d := range groups {
+		if cell.AzOutOfService(d.Az) || it.Az != "" && it.Az != d.Az {
 			continue
 		}
-		if it.Size.Fits(d.Largest) && it.Total().Fits(d.Free) {
+		if it.Size.FitsIn(d.Largest) && it.Total().FitsIn(d.Free) {
 			list = append(list, d)
 		}
 	}
@@ -408,7 +408,7 @@
 }
 
 // sortByFree sorts groups by free CPU capacity, least first.
-func sortByFree(list []wire.Duty) {
+func sortByFree(list []wire.GroupInfo) {
 	sort.SliceStable(list, func(i, j int) bool { return list[i].Free.CPU < list[j].Free.CPU })
 }
 
--- a/internal/node/owner/evict.go
+++ b/internal/node/owner/preempt.go
@@ -4,7 +4,7 @@
 	"context"
 	"sort"
 
-	"lagooncourse/internal/cell/books"
+	"lagooncourse/internal/cell/alloc"
 	"lagooncourse/internal/cell/config"
 	"lagooncourse/internal/cell/jobs"
 	"lagooncourse/internal/cell/queue"
@@ -14,20 +14,20 @@
 // This file preempts batch tasks: it stops them with a checkpoint. Eviction makes
 // room for an urgent task, rebalancing for teams below their fair share.
 
-// evictHoldMs is how long the capacity that an eviction frees is held for the
+// preemptHoldMs is how long the capacity that a preemption frees is held for the
 // urgent task.
-const evictHoldMs = 1000
+const preemptHoldMs = 1000
 
-// evict stops batch tasks on one of the group's workers so that an urgent item
+// preempt stops batch tasks on one of the group's workers so that an urgent item
 // with a single attempt fits there. The caller holds the lock.
-func (g *Group) evict(pl *placement, cell *config.State) {
-	if !g.preempts() || pl.item.Kind != jobs.Urgent || len(pl.asks) != 1 || !g.azAllows(pl.item, cell) {
+func (g *Group) preempt(pl *placement, cell *config.State) {
+	if !g.preempts() || pl.item.Kind != jobs.Urgent || len(pl.requests) != 1 || !g.azAllows(pl.item, cell) {
 		return
 	}
 	now := g.nowMs()
-	evicted := g.books.Evict(pl.asks[0], now, now+evictHoldMs)
-	g.stats.Evicted += int64(len(evicted))
-	g.stopLocal(evicted)
+	victims := g.allocations.SelectVictims(pl.requests[0], now, now+preemptHoldMs)
+	g.stats.Preempted += int64(len(victims))
+	g.stopLocal(victims)
 }
 
 // preempts reports whether the policy allows preemption.
@@ -37,7 +37,7 @@
 }
 
 // stopLocal sends stop requests for attempts on the group's own workers.
-func (g *Group) stopLocal(list []books.Attempt) {
+func (g *Group) stopLocal(list []alloc.Attempt) {
 	for _, at := range list {
 		go func() {
 			ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
@@ -78,7 +78,7 @@
 				continue
 			}
 			size := g.state.Jobs[ref.Job].Spec.Size
-			if view.Used[team].Minus(size).Dominant(view.Fleet) < shares[team] {
+			if view.Used[team].Minus(size).DominantShare(view.Fleet) < shares[team] {
 				break
 			}
 			over[ref] = true
@@ -92,16 +92,16 @@
 // fleetAlmostFull reports whether almost all of the fleet's CPU capacity is in use.
 func (g *Group) fleetAlmostFull(fleet jobs.Size) bool {
 	var free jobs.Size
-	for _, d := range g.cfg.Remote.Duties() {
+	for _, d := range g.cfg.Remote.Groups() {
 		free = free.Plus(d.Free)
 	}
 	return fleet.CPU > 0 && float64(free.CPU) < minFreeFraction*float64(fleet.CPU)
 }
 
 // anyBelowShare reports whether any team with waiting work is below its fair share.
-func anyBelowShare(v *queue.View, shares map[string]float64, waiting map[string]jobs.Size) bool {
+func anyBelowShare(v *queue.FleetView, shares map[string]float64, waiting map[string]jobs.Size) bool {
 	for team := range waiting {
-		if v.Used[team].Dominant(v.Fleet)+shareTolerance < shares[team] {
+		if v.Used[team].DominantShare(v.Fleet)+shareTolerance < shares[team] {
 			return true
 		}
 	}
@@ -110,9 +110,9 @@
 
 // teamsOverShare returns the teams above their fair share, in descending order
 // of the excess.
-func teamsOverShare(v *queue.View, shares map[string]float64) []string {
+func teamsOverShare(v *queue.FleetView, shares map[string]float64) []string {
 	var teams []string
-	excess := func(team string) float64 { return v.Used[team].Dominant(v.Fleet) - shares[team] }
+	excess := func(team string) float64 { return v.Used[team].DominantShare(v.Fleet) - shares[team] }
 	for team := range v.Used {
 		if excess(team) > shareTolerance {
 			teams = append(teams, team)
--- a/internal/node/owner/home.go
+++ b/internal/node/owner/reconcile.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"lagooncourse/internal/cell/books"
+	"lagooncourse/internal/cell/alloc"
 	"lagooncourse/internal/cell/group"
 	"lagooncourse/internal/cell/jobs"
 	"lagooncourse/internal/node/wire"
@@ -37,7 +37,7 @@
 // sendReports sends the ends that no home group has confirmed as recorded.
 func (g *Group) sendReports(ctx context.Context) {
 	g.mu.Lock()
-	byHome := g.books.Reports()
+	byHome := g.allocations.Reports()
 	g.mu.Unlock()
 	for home, reports := range byHome {
 		go g.sendReport(ctx, home, reports[:min(len(reports), maxReportBatch)])
@@ -45,7 +45,7 @@
 }
 
 // sendReport sends ends to one home group, and deletes those that it has recorded.
-func (g *Group) sendReport(ctx context.Context, home string, reports []books.Report) {
+func (g *Group) sendReport(ctx context.Context, home string, reports []alloc.Report) {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	msg := wire.ReportMsg{Group: home, Reports: reports}
@@ -56,7 +56,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, at := range a.Recorded {
-		g.books.Forget(at)
+		g.allocations.MarkEndRecorded(at)
 	}
 }
 
@@ -100,7 +100,7 @@
 		}
 		if _, ok := g.placedTask(ref, r.Attempt.Number); ok {
 			records = append(records, group.Record{End: &jobs.End{
-				Ref: ref, Attempt: r.Attempt.Number, How: r.How,
+				Ref: ref, Attempt: r.Attempt.Number, Reason: r.Reason,
 				Result: r.Result, Checkpoint: r.Checkpoint, AtMs: g.nowMs(),
 			}})
 		}
@@ -111,7 +111,7 @@
 // reconcileLoop queries unconfirmed attempts and stops attempts that should no
 // longer run.
 func (g *Group) reconcileLoop(ctx context.Context) {
-	every(ctx, g.cfg.Timing.Reconcile, func(ctx context.Context) {
+	every(ctx, g.cfg.Timing.ReconcileInterval, func(ctx context.Context) {
 		for name, queries := range g.unconfirmedQueries() {
 			go g.queryAttempts(ctx, name, queries)
 		}
@@ -122,22 +122,22 @@
 // unconfirmedQueries returns, for each worker's group, queries for the attempts
 // that the group has not confirmed in its current epoch. It skips attempts that
 // started less than queryDelayMs ago.
-func (g *Group) unconfirmedQueries() map[string][]books.Query {
+func (g *Group) unconfirmedQueries() map[string][]alloc.Query {
 	epochs := map[string]uint64{}
-	for _, d := range g.cfg.Remote.Duties() {
+	for _, d := range g.cfg.Remote.Groups() {
 		epochs[d.Group] = d.Epoch
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	byGroup := map[string][]books.Query{}
+	byGroup := map[string][]alloc.Query{}
 	g.eachPlaced(func(ref jobs.Ref, t jobs.Task) {
-		at := books.Attempt{Task: ref.String(), Number: t.Attempt}
+		at := alloc.Attempt{Task: ref.String(), Number: t.Attempt}
 		epoch, ok := g.confirmed[at]
 		if ok && epoch == epochs[t.Group] || g.nowMs()-t.StartMs < queryDelayMs {
 			return
 		}
 		if len(byGroup[t.Group]) < maxQueryBatch {
-			byGroup[t.Group] = append(byGroup[t.Group], books.Query{Attempt: at, Worker: t.Worker, Boot: t.Boot})
+			byGroup[t.Group] = append(byGroup[t.Group], alloc.Query{Attempt: at, Worker: t.Worker, Boot: t.Boot})
 		}
 	})
 	return byGroup
@@ -160,34 +160,34 @@
 
 // queryAttempts queries a worker's group about unconfirmed attempts and applies
 // the answers.
-func (g *Group) queryAttempts(ctx context.Context, name string, queries []books.Query) {
+func (g *Group) queryAttempts(ctx context.Context, name string, queries []alloc.Query) {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	msg := wire.WhereMsg{Group: name, Queries: queries}
-	a, err := g.cfg.Remote.Where(ctx, msg)
-	if err != nil || len(a.Places) != len(queries) || len(a.Reports) != len(queries) {
+	msg := wire.AttemptStatusMsg{Group: name, Queries: queries}
+	a, err := g.cfg.Remote.AttemptStatus(ctx, msg)
+	if err != nil || len(a.Statuses) != len(queries) || len(a.Reports) != len(queries) {
 		return
 	}
 	for i, q := range queries {
-		g.applyAnswer(q.Attempt, a.Epoch, a.Places[i], a.Reports[i])
+		g.applyAnswer(q.Attempt, a.Epoch, a.Statuses[i], a.Reports[i])
 	}
 }
 
 // applyAnswer applies the answer to the query of one attempt.
-func (g *Group) applyAnswer(at books.Attempt, epoch uint64, place books.Place, r books.Report) {
+func (g *Group) applyAnswer(at alloc.Attempt, epoch uint64, status alloc.AttemptStatus, r alloc.Report) {
 	ref, err := jobs.ParseRef(at.Task)
 	if err != nil {
 		return
 	}
-	switch place {
-	case books.There:
+	switch status {
+	case alloc.StatusRunning:
 		g.mu.Lock()
 		g.confirmed[at] = epoch
 		g.mu.Unlock()
-	case books.Ended:
+	case alloc.StatusEnded:
 		g.proposeEnd(ref, at.Number, r)
-	case books.Absent:
-		g.proposeEnd(ref, at.Number, books.Report{How: jobs.EndAbsent})
+	case alloc.StatusAbsent:
+		g.proposeEnd(ref, at.Number, alloc.Report{Reason: jobs.EndNeverStarted})
 	}
 }
 
@@ -224,7 +224,7 @@
 			return
 		}
 		list = append(list, wire.StopMsg{
-			Group: t.Group, Attempt: books.Attempt{Task: ref.String(), Number: t.Attempt},
+			Group: t.Group, Attempt: alloc.Attempt{Task: ref.String(), Number: t.Attempt},
 			Checkpoint: !t.Cancelling,
 		})
 	})
--- a/internal/node/owner/keep.go
+++ b/internal/node/owner/renew.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"lagooncourse/internal/base/fault"
-	"lagooncourse/internal/cell/books"
+	"lagooncourse/internal/cell/alloc"
 	"lagooncourse/internal/cell/jobs"
 	"lagooncourse/internal/cell/trust"
 	"lagooncourse/internal/plat/hosts"
@@ -15,7 +15,7 @@
 )
 
 // This file renews the leases of the group's workers and reconciles the
-// capacity records (package books) with the workers' inventories.
+// capacity records (package alloc) with the workers' inventories.
 //
 // A renewal is a long poll: it waits at the worker until the inventory changes,
 // so the end of a task is reported at once. After repeated failures, renewals
@@ -35,27 +35,27 @@
 	ctx    context.Context
 
 	// Guarded by the group's lock.
-	version     uint64       // version of the newest inventory
-	boot        int64        // boot id of the worker at that version
-	seen        []books.Seen // inventory at that version
-	failures    int          // consecutive failed renewals
-	leaseExpiry time.Time    // by then every lease that the worker can have received has expired
-	lost        bool         // its attempts have been reported as lost
-	started     bool         // the loop has been started
+	version     uint64                  // version of the newest inventory
+	boot        int64                   // boot id of the worker at that version
+	seen        []alloc.ReportedAttempt // inventory at that version
+	failures    int                     // consecutive failed renewals
+	leaseExpiry time.Time               // by then every lease that the worker can have received has expired
+	lost        bool                    // its attempts have been reported as lost
+	started     bool                    // the loop has been started
 }
 
 // syncWorkers updates the capacity records, and adds lease renewers for new
 // workers of the host list. Renewers of workers that are no longer listed
 // continue. The caller holds the lock.
 func (g *Group) syncWorkers() {
-	list := make([]books.Worker, 0, len(g.workers))
+	list := make([]alloc.Worker, 0, len(g.workers))
 	for _, h := range g.workers {
-		list = append(list, books.Worker{
-			ID: h.ID, Rack: h.Rack, Cap: jobs.Size{CPU: h.CPU, Mem: h.Mem, Accel: h.Accel},
-			Leaving: h.State == hosts.Leaving,
+		list = append(list, alloc.Worker{
+			ID: h.ID, Rack: h.Rack, Capacity: jobs.Size{CPU: h.CPU, Mem: h.Mem, Accel: h.Accel},
+			Draining: h.State == hosts.Leaving,
 		})
 	}
-	g.books.SetWorkers(list)
+	g.allocations.SetWorkers(list)
 	for _, h := range g.workers {
 		lr := g.renewers[h.ID]
 		if lr != nil && lr.host.URL == h.URL {
@@ -65,7 +65,7 @@
 			lr.cancel()
 		}
 		// The previous owner may have extended the lease just before it stopped.
-		expiry := g.ownedAt.Add(g.cfg.Timing.Lease + g.cfg.Timing.Renew + g.cfg.Timing.Margin)
+		expiry := g.ownedAt.Add(g.cfg.Timing.Lease + g.cfg.Timing.RenewWait + g.cfg.Timing.ClockMargin)
 		g.renewers[h.ID] = &leaseRenewer{host: h, client: g.cfg.Dial(h), leaseExpiry: expiry}
 	}
 }
@@ -138,29 +138,29 @@
 // nextRenewal returns the next renewal request for a worker. After repeated
 // failures the request no longer extends the lease, so the time by which all of
 // the worker's tasks have stopped stays fixed.
-func (g *Group) nextRenewal(lr *leaseRenewer, epoch uint64) (req worker.RenewRequest, renewal books.Renewal, ok bool) {
+func (g *Group) nextRenewal(lr *leaseRenewer, epoch uint64) (req worker.RenewRequest, renewal alloc.Renewal, ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.epoch != epoch {
 		return req, renewal, false
 	}
-	renewal = g.books.Renewal(lr.host.ID)
+	renewal = g.allocations.Renewal(lr.host.ID)
 	req = worker.RenewRequest{
-		Token:  worker.Token{Epoch: epoch, Seq: renewal.Floor},
+		Token:  worker.Token{Epoch: epoch, Seq: renewal.MinSeq},
 		Since:  lr.version,
-		WaitMs: g.cfg.Timing.Renew.Milliseconds(),
+		WaitMs: g.cfg.Timing.RenewWait.Milliseconds(),
 	}
-	for _, at := range renewal.Forget {
-		req.Forget = append(req.Forget, toWorkerAttempt(at))
+	for _, at := range renewal.Recorded {
+		req.Recorded = append(req.Recorded, toWorkerAttempt(at))
 	}
 	// Without an up-to-date inventory, request a full one and do not wait.
-	if lr.failures > 0 || !g.books.Ready(lr.host.ID) {
+	if lr.failures > 0 || !g.allocations.Ready(lr.host.ID) {
 		req.WaitMs, req.Since = 0, 0
 	}
 	if lr.failures < maxFailedRenewals {
 		req.TTLMs = g.cfg.Timing.Lease.Milliseconds()
 		timing := g.cfg.Timing
-		expiry := g.cfg.Clock.Now().Add(renewTimeout + timing.Renew + timing.Lease + timing.Margin)
+		expiry := g.cfg.Clock.Now().Add(renewTimeout + timing.RenewWait + timing.Lease + timing.ClockMargin)
 		if expiry.After(lr.leaseExpiry) {
 			lr.leaseExpiry = expiry
 		}
@@ -174,7 +174,7 @@
 const renewTimeout = time.Second
 
 // renewSucceeded applies a worker's answer to a renewal.
-func (g *Group) renewSucceeded(lr *leaseRenewer, epoch uint64, renewal books.Renewal, inv worker.Inventory) {
+func (g *Group) renewSucceeded(lr *leaseRenewer, epoch uint64, renewal alloc.Renewal, inv worker.Inventory) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.epoch != epoch {
@@ -188,8 +188,8 @@
 		return
 	}
 	lr.failures, lr.lost, lr.version, lr.boot = 0, false, inv.Version, inv.Boot
-	lr.seen = seenAttempts(inv, lr.seen, renewal.Forget)
-	ends := g.books.Inventory(lr.host.ID, books.Inventory{Renewal: renewal, Boot: inv.Boot, Seen: lr.seen})
+	lr.seen = reportedAttempts(inv, lr.seen, renewal.Recorded)
+	ends := g.allocations.ApplyInventory(lr.host.ID, alloc.Inventory{Renewal: renewal, Boot: inv.Boot, Attempts: lr.seen})
 	g.updateTrust(ends)
 	if len(ends) > 0 {
 		go g.sendReports(lr.ctx)
@@ -199,65 +199,65 @@
 
 // updateTrust records how attempts ended and updates the modes of their workers.
 // The caller holds the lock.
-func (g *Group) updateTrust(ends []books.Report) {
+func (g *Group) updateTrust(ends []alloc.Report) {
 	now := g.nowMs()
 	for _, r := range ends {
-		if r.How != jobs.EndOK && r.How != jobs.EndFailed {
+		if r.Reason != jobs.EndOK && r.Reason != jobs.EndFailed {
 			continue
 		}
 		job, _, _ := strings.Cut(r.Attempt.Task, "/")
-		if g.trust.Note(trust.End{Worker: r.Worker, Job: job, OK: r.How == jobs.EndOK, AtMs: now}) {
-			g.logger.Info("worker trust changed", "worker", r.Worker, "ok", r.How == jobs.EndOK)
-			g.books.SetMode(r.Worker, modeOf(g.trust.State(r.Worker, now)))
+		if g.trust.Record(trust.End{Worker: r.Worker, Job: job, OK: r.Reason == jobs.EndOK, AtMs: now}) {
+			g.logger.Info("worker trust changed", "worker", r.Worker, "ok", r.Reason == jobs.EndOK)
+			g.allocations.SetMode(r.Worker, modeOf(g.trust.State(r.Worker, now)))
 		}
 	}
 }
 
 // modeOf returns which attempts may be placed on a worker in trust state s.
-func modeOf(s trust.State) books.Mode {
+func modeOf(s trust.State) alloc.Mode {
 	switch s {
 	case trust.Quarantined:
-		return books.Closed
+		return alloc.ModeClosed
 	case trust.Probing:
-		return books.Probe
+		return alloc.ModeProbe
 	}
-	return books.Open
+	return alloc.ModeOpen
 }
 
 // refreshModes updates the modes of all distrusted workers, so that one whose
 // quarantine is over can be probed. The caller holds the lock.
 func (g *Group) refreshModes() {
-	for _, id := range g.trust.Distrusted() {
-		g.books.SetMode(id, modeOf(g.trust.State(id, g.nowMs())))
+	for _, id := range g.trust.NotTrusted() {
+		g.allocations.SetMode(id, modeOf(g.trust.State(id, g.nowMs())))
 	}
 }
 
-// seenAttempts converts a worker's inventory for the capacity records. An
+// reportedAttempts converts a worker's inventory for the capacity records. An
 // inventory marked Same equals the last one without the attempts that the
 // renewal told the worker to delete.
-func seenAttempts(inv worker.Inventory, last []books.Seen, deleted []books.Attempt) []books.Seen {
+func reportedAttempts(inv worker.Inventory, last []alloc.ReportedAttempt, deleted []alloc.Attempt) []alloc.ReportedAttempt {
 	if inv.Same {
-		return slices.DeleteFunc(slices.Clone(last), func(s books.Seen) bool { return slices.Contains(deleted, s.Attempt) })
+		return slices.DeleteFunc(slices.Clone(last), func(s alloc.ReportedAttempt) bool { return slices.Contains(deleted, s.Attempt) })
 	}
-	var list []books.Seen
+	var list []alloc.ReportedAttempt
 	for _, r := range inv.Running {
-		list = append(list, books.Seen{
-			Attempt: books.Attempt{Task: r.Attempt.Task, Number: r.Attempt.Number}, Home: r.Home,
+		list = append(list, alloc.ReportedAttempt{
+			Attempt: alloc.Attempt{Task: r.Attempt.Task, Number: r.Attempt.Number}, Home: r.Home,
 			Kind: jobs.Kind(r.Class), Size: jobs.Size{CPU: r.CPU, Mem: r.Mem, Accel: r.Accel},
 		})
 	}
 	for _, f := range inv.Finished {
-		list = append(list, books.Seen{
-			Attempt: books.Attempt{Task: f.Attempt.Task, Number: f.Attempt.Number}, Home: f.Home,
-			How: endHow(f.End), Result: f.Result, Checkpoint: f.Checkpoint,
+		list = append(list, alloc.ReportedAttempt{
+			Attempt: alloc.Attempt{Task: f.Attempt.Task, Number: f.Attempt.Number}, Home: f.Home,
+			Reason: endReason(f.End), Result: f.Result, Checkpoint: f.Checkpoint,
 		})
 	}
 	return list
 }
 
-// endHow converts the end that a worker reports. Any unlisted value counts as
+// endReason converts the end that a worker reports. Any unlisted value counts as
 // stopped.
-func endHow(e worker.End) jobs.How {
+func endReason(e worker.End) jobs.EndReason {
 	switch e {
 	case worker.EndOK:
 		return jobs.EndOK
@@ -278,7 +278,7 @@
 	if g.epoch != epoch {
 		return true, false
 	}
-	if fault.Is(err, fault.Conflict) {
+	if fault.HasCode(err, fault.Conflict) {
 		// The worker has seen a later epoch, but only the log determines the
 		// owner. The next append or read shows a claim, if there is one.
 		g.proposeEmptyBatch()
@@ -286,7 +286,7 @@
 	}
 	lr.failures++
 	if lr.failures >= maxFailedRenewals {
-		g.books.Unready(lr.host.ID)
+		g.allocations.MarkNotReady(lr.host.ID)
 	}
 	return false, !lr.lost && !g.cfg.Clock.Now().Before(lr.leaseExpiry)
 }
@@ -306,7 +306,7 @@
 		return
 	}
 	lr.lost = true
-	ends := g.books.LoseWorker(lr.host.ID)
+	ends := g.allocations.MarkWorkerLost(lr.host.ID)
 	g.logger.Info("worker is lost", "worker", lr.host.ID, "tasks", len(ends), "err", err.Error())
 	if len(ends) > 0 {
 		go g.sendReports(lr.ctx)
--- a/internal/node/owner/start.go
+++ b/internal/node/owner/start.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"lagooncourse/internal/base/fault"
-	"lagooncourse/internal/cell/books"
+	"lagooncourse/internal/cell/alloc"
 	"lagooncourse/internal/cell/group"
 	"lagooncourse/internal/cell/jobs"
 	"lagooncourse/internal/node/wire"
@@ -35,23 +35,23 @@
 	ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
 	defer cancel()
 	answer, err := g.cfg.Remote.Start(ctx, msg)
-	if err != nil && fault.RanOf(err) == fault.NotRun {
-		answer.Place = books.Absent
+	if err != nil && fault.OutcomeOf(err) == fault.NotRun {
+		answer.Status = alloc.StatusAbsent
 	}
-	if answer.Place == books.Absent {
-		g.proposeEnd(ref, msg.Attempt.Number, books.Report{How: jobs.EndAbsent})
+	if answer.Status == alloc.StatusAbsent {
+		g.proposeEnd(ref, msg.Attempt.Number, alloc.Report{Reason: jobs.EndNeverStarted})
 	}
 }
 
 // proposeEnd proposes the record of an attempt's end, without waiting for the
 // commit.
-func (g *Group) proposeEnd(ref jobs.Ref, attempt int, r books.Report) {
+func (g *Group) proposeEnd(ref jobs.Ref, attempt int, r alloc.Report) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if _, ok := g.placedTask(ref, attempt); !ok {
 		return
 	}
 	_ = g.propose(proposal{records: []group.Record{{End: &jobs.End{
-		Ref: ref, Attempt: attempt, How: r.How, Result: r.Result, Checkpoint: r.Checkpoint, AtMs: g.nowMs(),
+		Ref: ref, Attempt: attempt, Reason: r.Reason, Result: r.Result, Checkpoint: r.Checkpoint, AtMs: g.nowMs(),
 	}}}})
 }
--- a/internal/node/owner/serve.go
+++ b/internal/node/owner/workers.go
@@ -4,7 +4,7 @@
 	"context"
 
 	"lagooncourse/internal/base/fault"
-	"lagooncourse/internal/cell/books"
+	"lagooncourse/internal/cell/alloc"
 	"lagooncourse/internal/cell/config"
 	"lagooncourse/internal/node/wire"
 	"lagooncourse/internal/plat/hosts"
@@ -27,10 +27,10 @@
 		return a, err
 	}
 	until := g.nowMs() + msg.TTLMs
-	for i := range msg.Asks {
-		msg.Asks[i].UntilMs = until
+	for i := range msg.Requests {
+		msg.Requests[i].UntilMs = until
 	}
-	slots, ok := reserveAll(g.books, msg.Asks, g.nowMs())
+	slots, ok := reserveAll(g.allocations, msg.Requests, g.nowMs())
 	if !ok {
 		return a, fault.New(fault.Overload, fault.NotRun, "group %q does not have enough free capacity", g.cfg.Name)
 	}
@@ -40,68 +40,68 @@
 // checkStartAllowed returns an error if no task may start in the group's
 // availability zone now.
 func (g *Group) checkStartAllowed() error {
-	if err := g.cfg.Cell.Fresh(); err != nil {
+	if err := g.cfg.Cell.CheckFresh(); err != nil {
 		return err
 	}
-	if g.cfg.Cell.State().AzOut(g.cfg.Az) {
+	if g.cfg.Cell.State().AzOutOfService(g.cfg.Az) {
 		return fault.New(fault.Unavailable, fault.NotRun, "availability zone %q is out of service", g.cfg.Az)
 	}
 	return nil
 }
 
-// Start starts a reserved attempt. The place books.Absent in the answer means that
-// the attempt does not run and never will.
+// Start starts a reserved attempt. The status alloc.StatusAbsent in the answer
+// means that the attempt does not run and never will.
 func (g *Group) Start(ctx context.Context, msg wire.StartMsg) (a wire.StartAnswer, err error) {
-	lr, order, epoch, err := g.beginStart(msg)
+	lr, token, epoch, err := g.beginStart(msg)
 	if err != nil {
 		return a, err
 	}
 	if lr == nil {
-		return wire.StartAnswer{Place: books.Absent}, nil
+		return wire.StartAnswer{Status: alloc.StatusAbsent}, nil
 	}
-	err = lr.client.Start(ctx, startRequest(msg, epoch, order))
+	err = lr.client.Start(ctx, startRequest(msg, epoch, token))
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.epoch != epoch {
-		return wire.StartAnswer{Place: books.Unsure}, nil
+		return wire.StartAnswer{Status: alloc.StatusUnknown}, nil
 	}
 	switch {
 	case err == nil:
-		g.books.Started(msg.Attempt)
-		return wire.StartAnswer{Place: books.There}, nil
-	case fault.RanOf(err) == fault.NotRun:
-		g.books.Refused(msg.Attempt)
-		return wire.StartAnswer{Place: books.Absent}, nil
+		g.allocations.StartConfirmed(msg.Attempt)
+		return wire.StartAnswer{Status: alloc.StatusRunning}, nil
+	case fault.OutcomeOf(err) == fault.NotRun:
+		g.allocations.StartRefused(msg.Attempt)
+		return wire.StartAnswer{Status: alloc.StatusAbsent}, nil
 	}
-	g.books.Unsure(msg.Attempt)
+	g.allocations.StartUnconfirmed(msg.Attempt)
 	g.stats.UnsureStarts++
-	return wire.StartAnswer{Place: books.Unsure}, nil
+	return wire.StartAnswer{Status: alloc.StatusUnknown}, nil
 }
 
 // beginStart marks the attempt as being started, before the request is sent. A nil
 // renewer means that the attempt must not start.
-func (g *Group) beginStart(msg wire.StartMsg) (lr *leaseRenewer, order books.Order, epoch uint64, err error) {
+func (g *Group) beginStart(msg wire.StartMsg) (lr *leaseRenewer, token alloc.StartToken, epoch uint64, err error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.epoch == 0 {
-		return nil, order, 0, notOwner(g.cfg.Name)
+		return nil, token, 0, notOwner(g.cfg.Name)
 	}
 	if g.checkStartAllowed() != nil {
-		g.books.Cancel(msg.Attempt)
-		return nil, order, 0, nil
+		g.allocations.Cancel(msg.Attempt)
+		return nil, token, 0, nil
 	}
-	order, ok := g.books.Begin(msg.Attempt)
+	token, ok := g.allocations.Begin(msg.Attempt)
 	if !ok {
-		return nil, order, 0, nil
+		return nil, token, 0, nil
 	}
-	return g.renewers[order.Worker], order, g.epoch, nil
+	return g.renewers[token.Worker], token, g.epoch, nil
 }
 
 // startRequest returns the request that starts an attempt on its worker.
-func startRequest(msg wire.StartMsg, epoch uint64, order books.Order) worker.StartRequest {
+func startRequest(msg wire.StartMsg, epoch uint64, token alloc.StartToken) worker.StartRequest {
 	return worker.StartRequest{
-		Token:   worker.Token{Epoch: epoch, Seq: order.Seq},
-		Boot:    order.Boot,
+		Token:   worker.Token{Epoch: epoch, Seq: token.Seq},
+		Boot:    token.Boot,
 		Attempt: worker.Attempt{Task: msg.Attempt.Task, Number: msg.Attempt.Number},
 		Home:    msg.Home, Family: msg.Spec.Name, Class: string(msg.Spec.Kind),
 		CPU: msg.Spec.Size.CPU, Mem: msg.Spec.Size.Mem, Accel: msg.Spec.Size.Accel,
@@ -117,7 +117,7 @@
 		g.mu.Unlock()
 		return notOwner(g.cfg.Name)
 	}
-	id, ok := g.books.WorkerOf(msg.Attempt)
+	id, ok := g.allocations.WorkerOf(msg.Attempt)
 	lr, epoch := g.renewers[id], g.epoch
 	g.mu.Unlock()
 	if !ok || lr == nil {
@@ -130,11 +130,11 @@
 	})
 }
 
-// Where returns the state of attempts that were placed on the group's workers.
+// AttemptStatus returns the state of attempts that were placed on the group's workers.
 // It first confirms the ownership from the log. Otherwise an owner that resumes
 // after a pause could report an attempt as absent that a later owner has
 // started.
-func (g *Group) Where(ctx context.Context, msg wire.WhereMsg) (a wire.WhereAnswer, err error) {
+func (g *Group) AttemptStatus(ctx context.Context, msg wire.AttemptStatusMsg) (a wire.AttemptStatusAnswer, err error) {
 	if err := g.confirmOwner(ctx); err != nil {
 		return a, err
 	}
@@ -144,11 +144,11 @@
 		return a, notOwner(g.cfg.Name)
 	}
 	timing := g.cfg.Timing
-	expired := g.cfg.Clock.Now().After(g.ownedAt.Add(renewTimeout + timing.Renew + timing.Lease + timing.Margin))
+	expired := g.cfg.Clock.Now().After(g.ownedAt.Add(renewTimeout + timing.RenewWait + timing.Lease + timing.ClockMargin))
 	a.Epoch = g.epoch
 	for _, q := range msg.Queries {
-		place, r := g.books.Where(q, expired)
-		a.Places = append(a.Places, place)
+		status, r := g.allocations.AttemptStatus(q, expired)
+		a.Statuses = append(a.Statuses, status)
 		a.Reports = append(a.Reports, r)
 	}
 	return a, nil
@@ -167,16 +167,16 @@
 }
 
 // attemptsToDrain returns the attempts for the next round of draining.
-func (g *Group) attemptsToDrain(cell *config.State) []books.Attempt {
+func (g *Group) attemptsToDrain(cell *config.State) []alloc.Attempt {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	azOut := cell.AzOut(g.cfg.Az)
-	var list []books.Attempt
+	azOut := cell.AzOutOfService(g.cfg.Az)
+	var list []alloc.Attempt
 	for _, h := range g.workers {
 		if !azOut && h.State != hosts.Leaving {
 			continue
 		}
-		for _, r := range g.books.Running(h.ID) {
+		for _, r := range g.allocations.Running(h.ID) {
 			if len(list) < maxDrainBatch {
 				list = append(list, r.Attempt)
 			}
--- a/internal/node/peers/peers.go
+++ b/internal/node/peers/peers.go
@@ -127,7 +127,7 @@
 }
 
 // sameEpochs reports whether a and b list the same groups with the same epochs.
-func sameEpochs(a, b []wire.Duty) bool {
+func sameEpochs(a, b []wire.GroupInfo) bool {
 	if len(a) != len(b) {
 		return false
 	}
--- a/internal/node/peers/peers_test.go
+++ b/internal/node/peers/peers_test.go
@@ -176,9 +176,9 @@
 func TestOwners(t *testing.T) {
 	w := newTestNetwork(1)
 	tab := w.tables[0]
-	duty := func(epoch uint64) []wire.Duty { return []wire.Duty{{Group: "g", Epoch: epoch}} }
-	tab.Merge(wire.GossipMsg{Members: []wire.Member{{ID: "x", Addr: "x:1", Boot: 1, Version: 1, Groups: duty(5)}}}, w.now)
-	tab.Merge(wire.GossipMsg{Members: []wire.Member{{ID: "y", Addr: "y:1", Boot: 1, Version: 1, Groups: duty(4)}}}, w.now)
+	ownedGroup := func(epoch uint64) []wire.GroupInfo { return []wire.GroupInfo{{Group: "g", Epoch: epoch}} }
+	tab.Merge(wire.GossipMsg{Members: []wire.Member{{ID: "x", Addr: "x:1", Boot: 1, Version: 1, Groups: ownedGroup(5)}}}, w.now)
+	tab.Merge(wire.GossipMsg{Members: []wire.Member{{ID: "y", Addr: "y:1", Boot: 1, Version: 1, Groups: ownedGroup(4)}}}, w.now)
 	o, ok := tab.Owner("g")
 	assert.Assert(t, ok)
 	assert.Equal(t, o.Host, "x")
--- a/internal/node/route/pool.go
+++ b/internal/node/route/pool.go
@@ -144,7 +144,7 @@
 	if err != nil {
 		return a, err
 	}
-	return wire.CallAnswer{Status: answer.Status, Body: answer.Body, Ran: fault.Done}, nil
+	return wire.CallAnswer{Status: answer.Status, Body: answer.Body, Outcome: fault.Done}, nil
 }
 
 // acquire acquires a slot of the target with the most free slots. If none is free, it
@@ -261,7 +261,7 @@
 	switch {
 	case err == nil:
 		t.failures = 0
-	case !fault.Is(err, fault.Overload):
+	case !fault.HasCode(err, fault.Overload):
 		t.failures++
 		if t.failures >= failuresToEject && p.mayEject() {
 			t.failures = 0
--- a/internal/node/route/route.go
+++ b/internal/node/route/route.go
@@ -69,7 +69,7 @@
 // ctx ends. Each retry has its own id, so a late response to one attempt is not taken
 // for that of another.
 func (r *Router) Call(ctx context.Context, msg wire.CallMsg) (a wire.CallAnswer, err error) {
-	defer fault.Note(&err, "service %q", msg.Service)
+	defer fault.Annotate(&err, "service %q", msg.Service)
 	r.countCall()
 	tried := map[string]bool{}
 	id := msg.ID
@@ -101,7 +101,7 @@
 
 // retryable reports whether a call that failed with err may be retried.
 func retryable(err error, idempotent bool) bool {
-	switch fault.RanOf(err) {
+	switch fault.OutcomeOf(err) {
 	case fault.NotRun:
 		return true
 	case fault.Unknown:
@@ -119,7 +119,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.inFlight[msg.Group]--
-	if err != nil && fault.RanOf(err) == fault.Unknown {
+	if err != nil && fault.OutcomeOf(err) == fault.Unknown {
 		r.stats.Unknown++
 	}
 	return a, err
--- a/internal/node/route/route_test.go
+++ b/internal/node/route/route_test.go
@@ -93,7 +93,7 @@
 			_, err := p.Serve(context.Background(), wire.CallMsg{ID: fmt.Sprint(i)})
 			mu.Lock()
 			defer mu.Unlock()
-			outcomes[fault.RanOf(err)]++
+			outcomes[fault.OutcomeOf(err)]++
 		}()
 	}
 	capacity := 4 + 4*maxQueuePerSlot
@@ -132,7 +132,7 @@
 	}()
 	until(t, func() bool { return p.Load().Queued == 1 })
 	cancel()
-	assert.Equal(t, fault.RanOf(<-done), fault.NotRun)
+	assert.Equal(t, fault.OutcomeOf(<-done), fault.NotRun)
 	close(fakes[0].release)
 	until(t, func() bool { return p.Load().Busy == 0 })
 	assert.Equal(t, fakes[0].callCount(), 2)
@@ -153,7 +153,7 @@
 	assert.Equal(t, p.Load().Slots, 2)
 	p.SetTargets(list[:0])
 	_, err := p.Serve(context.Background(), wire.CallMsg{})
-	assert.Equal(t, fault.RanOf(err), fault.NotRun)
+	assert.Equal(t, fault.OutcomeOf(err), fault.NotRun)
 }
 
 // TestEjection checks that a failing target is ejected and becomes available again, and
@@ -161,11 +161,11 @@
 func TestEjection(t *testing.T) {
 	p, fakes, _, c := testPool(3, false)
 	for _, f := range fakes {
-		f.err = fault.New(fault.BadAnswer, fault.Unknown, "broken")
+		f.err = fault.New(fault.BadResponse, fault.Unknown, "broken")
 	}
 	for range 30 {
 		_, err := p.Serve(context.Background(), wire.CallMsg{})
-		assert.Equal(t, fault.RanOf(err), fault.Unknown)
+		assert.Equal(t, fault.OutcomeOf(err), fault.Unknown)
 	}
 	assert.Equal(t, p.Load().Slots, 4, "only one of three targets may be ejected")
 	c.Advance(ejectionTime)
@@ -186,7 +186,7 @@
 	if n := len(f.sent); n <= len(f.errs) && f.errs[n-1] != nil {
 		return wire.CallAnswer{}, f.errs[n-1]
 	}
-	return wire.CallAnswer{Ran: fault.Done}, nil
+	return wire.CallAnswer{Outcome: fault.Done}, nil
 }
 
 // TestRetries compares the number of attempts with a simple model in which a call is
@@ -207,7 +207,7 @@
 		r := NewRouter(RouterConfig{Forwarder: s, Rand: rand.New(rand.NewPCG(1, rapid.Uint64().Draw(t, "seed")))})
 		_, err := r.Call(context.Background(), wire.CallMsg{Service: "s", ID: "c", Idempotent: idempotent})
 		want := 1
-		for want < maxAttempts && want <= len(errs) && (idempotent || fault.RanOf(errs[want-1]) == fault.NotRun) {
+		for want < maxAttempts && want <= len(errs) && (idempotent || fault.OutcomeOf(errs[want-1]) == fault.NotRun) {
 			want++
 		}
 		assert.Equal(t, len(s.sent), want)
@@ -233,7 +233,7 @@
 	const calls = 1000
 	for i := range calls {
 		_, err := r.Call(context.Background(), wire.CallMsg{Service: "s", ID: fmt.Sprint(i)})
-		assert.Equal(t, fault.RanOf(err), fault.NotRun)
+		assert.Equal(t, fault.OutcomeOf(err), fault.NotRun)
 	}
 	retries := r.Stats().Retries
 	assert.Assert(t, retries <= maxBudget+calls*budgetPerCall, "%d retries", retries)
--- a/internal/node/wire/wire.go
+++ b/internal/node/wire/wire.go
@@ -5,32 +5,32 @@
 // # Usage
 //
 //	frame.Handle(srv, wire.Reserve, host.reserve)
-//	answer, err := frame.Call(ctx, pool, addr, wire.Reserve, wire.ReserveMsg{Group: g, Asks: asks})
+//	answer, err := frame.Call(ctx, pool, addr, wire.Reserve, wire.ReserveMsg{Group: g, Requests: requests})
 package wire
 
 import (
 	"lagooncourse/internal/base/fault"
 	"lagooncourse/internal/base/frame"
-	"lagooncourse/internal/cell/books"
+	"lagooncourse/internal/cell/alloc"
 	"lagooncourse/internal/cell/jobs"
 )
 
 // The methods that entry hosts call on each other.
 var (
-	Gossip     = frame.Method[GossipMsg, GossipMsg]{ID: 1, Name: "gossip"}
-	ReadConfig = frame.Method[ReadConfigMsg, ReadConfigAnswer]{ID: 2, Name: "cell"}
-	Submit     = frame.Method[SubmitMsg, jobs.Job]{ID: 3, Name: "submit"}
-	Status     = frame.Method[StatusMsg, StatusAnswer]{ID: 4, Name: "status"}
-	Cancel     = frame.Method[CancelMsg, jobs.Job]{ID: 5, Name: "cancel"}
-	Settle     = frame.Method[SettleMsg, jobs.Job]{ID: 6, Name: "settle"}
-	Reserve    = frame.Method[ReserveMsg, ReserveAnswer]{ID: 7, Name: "reserve"}
-	Start      = frame.Method[StartMsg, StartAnswer]{ID: 8, Name: "start"}
-	Stop       = frame.Method[StopMsg, Empty]{ID: 9, Name: "stop"}
-	Where      = frame.Method[WhereMsg, WhereAnswer]{ID: 10, Name: "where"}
-	Report     = frame.Method[ReportMsg, ReportAnswer]{ID: 11, Name: "report"}
-	Serve      = frame.Method[CallMsg, CallAnswer]{ID: 12, Name: "serve"}
-	Once       = frame.Method[CallMsg, CallAnswer]{ID: 13, Name: "once"}
-	List       = frame.Method[ListMsg, ListAnswer]{ID: 14, Name: "list"}
+	Gossip        = frame.Method[GossipMsg, GossipMsg]{ID: 1, Name: "gossip"}
+	ReadConfig    = frame.Method[ReadConfigMsg, ReadConfigAnswer]{ID: 2, Name: "cell"}
+	Submit        = frame.Method[SubmitMsg, jobs.Job]{ID: 3, Name: "submit"}
+	Status        = frame.Method[StatusMsg, StatusAnswer]{ID: 4, Name: "status"}
+	Cancel        = frame.Method[CancelMsg, jobs.Job]{ID: 5, Name: "cancel"}
+	Settle        = frame.Method[SettleMsg, jobs.Job]{ID: 6, Name: "settle"}
+	Reserve       = frame.Method[ReserveMsg, ReserveAnswer]{ID: 7, Name: "reserve"}
+	Start         = frame.Method[StartMsg, StartAnswer]{ID: 8, Name: "start"}
+	Stop          = frame.Method[StopMsg, Empty]{ID: 9, Name: "stop"}
+	AttemptStatus = frame.Method[AttemptStatusMsg, AttemptStatusAnswer]{ID: 10, Name: "where"}
+	Report        = frame.Method[ReportMsg, ReportAnswer]{ID: 11, Name: "report"}
+	Serve         = frame.Method[CallMsg, CallAnswer]{ID: 12, Name: "serve"}
+	CallOnce      = frame.Method[CallMsg, CallAnswer]{ID: 13, Name: "once"}
+	List          = frame.Method[ListMsg, ListAnswer]{ID: 14, Name: "list"}
 )
 
 // Empty is a response without content.
@@ -62,15 +62,15 @@
 
 // Member describes one entry host.
 type Member struct {
-	ID      string `json:"id"`
-	Addr    string `json:"addr"` // for peers
-	API     string `json:"api"`  // base URL for callers
-	Az      string `json:"az"`
-	Boot    int64  `json:"boot"`    // incarnation: higher after each restart of the host
-	Version uint64 `json:"version"` // of this description; higher after each change within the incarnation
-	Leaving bool   `json:"leaving"` // the host is shutting down
-	Groups  []Duty `json:"groups"`
-	Pools   []Pool `json:"pools"` // pools that this member serves
+	ID      string      `json:"id"`
+	Addr    string      `json:"addr"` // for peers
+	API     string      `json:"api"`  // base URL for callers
+	Az      string      `json:"az"`
+	Boot    int64       `json:"boot"`    // incarnation: higher after each restart of the host
+	Version uint64      `json:"version"` // of this description; higher after each change within the incarnation
+	Leaving bool        `json:"leaving"` // the host is shutting down
+	Groups  []GroupInfo `json:"groups"`
+	Pools   []Pool      `json:"pools"` // pools that this member serves
 }
 
 // Newer reports whether m is a later description than o.
@@ -78,17 +78,17 @@
 	return m.Boot > o.Boot || m.Boot == o.Boot && m.Version > o.Version
 }
 
-// Duty describes a group that a member owns.
-type Duty struct {
-	Group    string               `json:"group"`
-	Epoch    uint64               `json:"epoch"`
-	Az       string               `json:"az"`
-	Capacity jobs.Size            `json:"capacity"` // of all workers that are not leaving
-	Free     jobs.Size            `json:"free"`     // of all schedulable workers
-	Largest  jobs.Size            `json:"largest"`  // per dimension, the largest free capacity of any worker
-	Used     map[string]jobs.Size `json:"used"`     // team -> size of the placed tasks of the group's own jobs
-	Wanting  []string             `json:"wanting"`  // teams that request a larger grant in this group
-	Waiting  map[string]jobs.Size `json:"waiting"`  // team -> size of the queued work
+// GroupInfo describes a group that a member owns.
+type GroupInfo struct {
+	Group      string               `json:"group"`
+	Epoch      uint64               `json:"epoch"`
+	Az         string               `json:"az"`
+	Capacity   jobs.Size            `json:"capacity"` // of all workers that are not leaving
+	Free       jobs.Size            `json:"free"`     // of all schedulable workers
+	Largest    jobs.Size            `json:"largest"`  // per dimension, the largest free capacity of any worker
+	Used       map[string]jobs.Size `json:"used"`     // team -> size of the placed tasks of the group's own jobs
+	Requesting []string             `json:"wanting"`  // teams that request a larger grant in this group
+	Queued     map[string]jobs.Size `json:"waiting"`  // team -> size of the queued work
 }
 
 // Pool is the reported load of the pool of one service's targets in one group.
@@ -144,24 +144,24 @@
 	Action jobs.Action
 }
 
-// ReserveMsg requests reservations from a group's owner. It reserves for all of Asks or
-// for none. The owner sets UntilMs of each to its own time plus TTLMs.
+// ReserveMsg requests reservations from a group's owner. It reserves for all of
+// Requests or for none. The owner sets UntilMs of each to its own time plus TTLMs.
 type ReserveMsg struct {
-	Group string
-	Asks  []books.Ask
-	TTLMs int64 // lifetime of the reservation
+	Group    string
+	Requests []alloc.ReserveRequest
+	TTLMs    int64 // lifetime of the reservation
 }
 
-// ReserveAnswer carries the worker reserved for each of Asks, in their order. If the
-// owner can't reserve for all of them, the response is an error.
+// ReserveAnswer carries the worker reserved for each of Requests, in their order. If
+// the owner can't reserve for all of them, the response is an error.
 type ReserveAnswer struct {
-	Slots []books.Slot
+	Slots []alloc.Slot
 }
 
 // StartMsg asks the owner of a worker's group to start a reserved attempt.
 type StartMsg struct {
 	Group      string
-	Attempt    books.Attempt
+	Attempt    alloc.Attempt
 	Home       string // group that owns the job
 	Spec       jobs.Spec
 	Checkpoint string // checkpoint to continue from, or empty
@@ -169,43 +169,43 @@
 
 // StartAnswer reports the state of the attempt after the request.
 type StartAnswer struct {
-	Place books.Place
+	Status alloc.AttemptStatus
 }
 
 // StopMsg asks the owner of a worker's group to stop an attempt.
 type StopMsg struct {
 	Group      string
-	Attempt    books.Attempt
+	Attempt    alloc.Attempt
 	Checkpoint bool // let the task write a checkpoint before it stops
 }
 
-// WhereMsg queries the state of attempts.
-type WhereMsg struct {
+// AttemptStatusMsg queries the state of attempts.
+type AttemptStatusMsg struct {
 	Group   string
-	Queries []books.Query
+	Queries []alloc.Query
 }
 
-// WhereAnswer is the response to a WhereMsg.
-type WhereAnswer struct {
-	Epoch   uint64         // epoch of the owner that answered
-	Places  []books.Place  // state for each query, in their order
-	Reports []books.Report // for each query; has the details if the state is books.Ended
+// AttemptStatusAnswer is the response to an AttemptStatusMsg.
+type AttemptStatusAnswer struct {
+	Epoch    uint64                // epoch of the owner that answered
+	Statuses []alloc.AttemptStatus // state for each query, in their order
+	Reports  []alloc.Report        // for each query; has the details if the state is alloc.Ended
 }
 
 // ReportMsg reports to the owner of a job's group how attempts ended.
 type ReportMsg struct {
 	Group   string
-	Reports []books.Report
+	Reports []alloc.Report
 }
 
 // ReportAnswer lists the attempts whose reports the sender need not repeat.
 type ReportAnswer struct {
-	Recorded []books.Attempt
+	Recorded []alloc.Attempt
 }
 
 // CallMsg forwards a call to a service.
 type CallMsg struct {
-	Group      string // Serve: group of the targets; Once: group that records the call
+	Group      string // Serve: group of the targets; CallOnce: group that records the call
 	Service    string
 	Team       string
 	ID         string
@@ -215,9 +215,9 @@
 
 // CallAnswer carries the complete response to a call.
 type CallAnswer struct {
-	Status int
-	Body   []byte
-	Ran    fault.Outcome
+	Status  int
+	Body    []byte
+	Outcome fault.Outcome
 }
 
 // ListMsg requests the jobs of a group.
--- a/internal/plat/fakes/doc.go
+++ b/internal/plat/fakes/doc.go
@@ -2,12 +2,12 @@
 //
 // Log, Fleet and Execs are HTTP servers that implement the protocols of the log
 // service, the workers and the executors, so that tests cover the adapters too.
-// Store and Farm are called directly, without HTTP.
+// Store and SimFleet are called directly, without HTTP.
 //
 // The fakes record what was run, for the checks of tests and of package judge, and
 // can inject faults: an outage, a lost answer, a worker that fails all its tasks,
 // or an executor that sends the answer to another request. Set, or POST /switch,
-// sets the faults of an HTTP server; SetFaults sets those of Store and Farm.
+// sets the faults of an HTTP server; SetFaults sets those of Store and SimFleet.
 //
 // # Usage
 //
--- a/internal/plat/fakes/exec.go
+++ b/internal/plat/fakes/exec.go
@@ -74,7 +74,7 @@
 
 // StartExecs starts the executors and their admin server.
 func StartExecs(cfg ExecConfig) (e *Execs, err error) {
-	defer fault.Note(&err, "start fake executors")
+	defer fault.Annotate(&err, "start fake executors")
 	e = &Execs{}
 	for _, h := range cfg.Targets {
 		if err := e.add(h, cfg.WorkMs); err != nil {
--- a/internal/plat/fakes/log.go
+++ b/internal/plat/fakes/log.go
@@ -73,7 +73,7 @@
 
 // StartLog starts a log on cfg.Addr.
 func StartLog(cfg LogConfig) (l *Log, err error) {
-	defer fault.Note(&err, "start fake log")
+	defer fault.Annotate(&err, "start fake log")
 	limit := rate.NewLimiter(rate.Inf, 0)
 	if cfg.AppendsPerSecond > 0 {
 		limit = rate.NewLimiter(rate.Limit(cfg.AppendsPerSecond), appendBurst)
--- a/internal/plat/fakes/farm.go
+++ b/internal/plat/fakes/simfleet.go
@@ -14,18 +14,18 @@
 	"lagooncourse/internal/plat/ports"
 )
 
-// Farm fakes the workers of the platform without network or timers. The caller
+// SimFleet fakes the workers of the platform without network or timers. The caller
 // passes the current time to each call, so that tests can simulate hours in
-// milliseconds. Farm checks each start and records violations of the scheduler's
+// milliseconds. SimFleet checks each start and records violations of the scheduler's
 // guarantees.
-type Farm struct {
+type SimFleet struct {
 	mu         sync.Mutex
 	rand       *rand.Rand
-	workers    map[string]*farmWorker
+	workers    map[string]*simWorker
 	ids        []string // worker IDs in a fixed order
 	specs      map[string]sched.Spec
 	quotas     map[string]jobs.Size
-	faults     FarmFaults
+	faults     SimFleetFaults
 	late       []lateOrder
 	violations []string
 	ackedTasks map[string]bool // tasks whose successful end the scheduler has acknowledged
@@ -33,15 +33,15 @@
 	starts     int
 }
 
-// FarmFaults holds the injected faults, as probabilities between 0 and 1.
-type FarmFaults struct {
+// SimFleetFaults holds the injected faults, as probabilities between 0 and 1.
+type SimFleetFaults struct {
 	Lost float64 // a start or stop is carried out but not answered
 	Late float64 // a start or stop is not answered and is carried out 2 to 12 s later
 	Fail float64 // a run fails
 }
 
-// FarmConfig is the configuration of a Farm.
-type FarmConfig struct {
+// SimFleetConfig is the configuration of a SimFleet.
+type SimFleetConfig struct {
 	Workers  int
 	Capacity jobs.Size
 	Rack     int // workers per rack
@@ -50,22 +50,22 @@
 	Seed     int64
 }
 
-// farmWorker is one worker.
-type farmWorker struct {
+// simWorker is one worker.
+type simWorker struct {
 	info        sched.WorkerInfo
 	bootMs      int64
-	maxToken    int64               // highest fencing token received
-	leaseEnd    int64               // end of the lease, on the worker's clock
-	runs        map[string]*farmRun // by task
-	ended       []sched.Finished    // unacknowledged finished runs
-	lastSeq     int64               // number of the last finished run
-	endedRun    map[string]int      // by task: highest run number that has ended or was stopped
-	seqAtExpiry int64               // lastSeq when the lease last expired; tasks of runs up to it may be rerun
-	unreachable bool                // calls to the worker fail
-	down        bool                // the worker is not running
-}
-
-type farmRun struct {
+	maxToken    int64              // highest fencing token received
+	leaseEnd    int64              // end of the lease, on the worker's clock
+	runs        map[string]*simRun // by task
+	ended       []sched.Finished   // unacknowledged finished runs
+	lastSeq     int64              // number of the last finished run
+	endedRun    map[string]int     // by task: highest run number that has ended or was stopped
+	seqAtExpiry int64              // lastSeq when the lease last expired; tasks of runs up to it may be rerun
+	unreachable bool               // calls to the worker fail
+	down        bool               // the worker is not running
+}
+
+type simRun struct {
 	number  int // run number of the task
 	size    jobs.Size
 	team    string
@@ -90,21 +90,21 @@
 	gangTimeoutMs = 3_000  // time that a gang member waits for the other members
 )
 
-// NewFarm returns simulated workers without runs.
-func NewFarm(cfg FarmConfig) *Farm {
-	f := &Farm{
-		rand: rand.New(rand.NewSource(cfg.Seed)), workers: map[string]*farmWorker{}, specs: map[string]sched.Spec{},
+// NewSimFleet returns simulated workers without runs.
+func NewSimFleet(cfg SimFleetConfig) *SimFleet {
+	f := &SimFleet{
+		rand: rand.New(rand.NewSource(cfg.Seed)), workers: map[string]*simWorker{}, specs: map[string]sched.Spec{},
 		quotas: map[string]jobs.Size{}, ackedTasks: map[string]bool{}, doneTasks: map[string]bool{},
 	}
 	for i := range cfg.Workers {
 		rack := fmt.Sprintf("r%d", i/max(cfg.Rack, 1))
 		id := fmt.Sprintf("w%d", i)
-		f.workers[id] = &farmWorker{
+		f.workers[id] = &simWorker{
 			info: sched.WorkerInfo{
 				ID: id, Addr: id, Service: cfg.Service, Az: cfg.Azs[i%len(cfg.Azs)], Rack: rack, Labels: []string{"a", rack},
-				Capacity: cfg.Capacity, Born: 1,
+				Capacity: cfg.Capacity, Incarnation: 1,
 			},
-			runs: map[string]*farmRun{}, endedRun: map[string]int{},
+			runs: map[string]*simRun{}, endedRun: map[string]int{},
 		}
 		f.ids = append(f.ids, id)
 	}
@@ -112,25 +112,25 @@
 }
 
 // SetFaults replaces the injected faults.
-func (f *Farm) SetFaults(faults FarmFaults) {
+func (f *SimFleet) SetFaults(faults SimFleetFaults) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.faults = faults
 }
 
-// Know registers a job. The farm needs its spec to run and check its tasks.
-func (f *Farm) Know(spec sched.Spec) {
+// RegisterJob registers a job. The fleet needs its spec to run and check its tasks.
+func (f *SimFleet) RegisterJob(spec sched.Spec) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.specs[spec.ID] = spec
 }
 
-// SetLimit sets the quota of a team, which the farm checks at each start. It
+// SetLimit sets the quota of a team, which the fleet checks at each start. It
 // takes no lock: call it before the first start.
-func (f *Farm) SetLimit(team string, limit jobs.Size) { f.quotas[team] = limit }
+func (f *SimFleet) SetLimit(team string, limit jobs.Size) { f.quotas[team] = limit }
 
 // Entries returns the registry entries of the running workers.
-func (f *Farm) Entries() []sched.WorkerInfo {
+func (f *SimFleet) Entries() []sched.WorkerInfo {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var list []sched.WorkerInfo
@@ -143,9 +143,9 @@
 	return list
 }
 
-// Cut makes all calls to a worker fail (on) or succeed again (!on). The worker
-// keeps running.
-func (f *Farm) Cut(id string, on bool) {
+// SetUnreachable makes all calls to a worker fail (on) or succeed again (!on). The
+// worker keeps running.
+func (f *SimFleet) SetUnreachable(id string, on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.workers[id].unreachable = on
@@ -153,11 +153,11 @@
 
 // Reboot restarts a worker with the same ID: its runs and state are lost, and its
 // incarnation number increases.
-func (f *Farm) Reboot(id string, nowMs int64) {
+func (f *SimFleet) Reboot(id string, nowMs int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	w := f.workers[id]
-	w.info.Born++
+	w.info.Incarnation++
 	w.bootMs, w.maxToken, w.leaseEnd, w.lastSeq, w.seqAtExpiry = nowMs, 0, 0, 0, 0
 	for _, task := range slices.Sorted(maps.Keys(w.runs)) {
 		r := w.runs[task]
@@ -169,7 +169,7 @@
 			f.finishGang(r.gang, sched.EndLost)
 		}
 	}
-	w.runs, w.ended, w.endedRun = map[string]*farmRun{}, nil, map[string]int{}
+	w.runs, w.ended, w.endedRun = map[string]*simRun{}, nil, map[string]int{}
 	rest := f.late[:0]
 	for _, o := range f.late {
 		if o.start != nil && o.start.Peer.ID == id || o.stop != nil && o.stop.Peer.ID == id {
@@ -180,22 +180,22 @@
 	f.late = rest
 }
 
-// Broken describes the violations found so far.
-func (f *Farm) Broken() []string {
+// Violations describes the violations found so far.
+func (f *SimFleet) Violations() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return append([]string(nil), f.violations...)
 }
 
 // Starts returns the number of runs started so far.
-func (f *Farm) Starts() int {
+func (f *SimFleet) Starts() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.starts
 }
 
 // Running returns the number of active runs.
-func (f *Farm) Running() int {
+func (f *SimFleet) Running() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := 0
@@ -207,18 +207,18 @@
 
 // clock returns the time of the worker's clock, which runs 2% slow and restarts
 // at 1000 at each boot.
-func (w *farmWorker) clock(nowMs int64) int64 { return (nowMs-w.bootMs)*98/100 + 1000 }
+func (w *simWorker) clock(nowMs int64) int64 { return (nowMs-w.bootMs)*98/100 + 1000 }
 
 // Advance carries out late orders that are due. It ends the runs that have
 // completed, whose lease has expired, or whose gang is still incomplete after
 // gangTimeoutMs.
-func (f *Farm) Advance(nowMs int64) {
+func (f *SimFleet) Advance(nowMs int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.advance(nowMs)
 }
 
-func (f *Farm) advance(nowMs int64) {
+func (f *SimFleet) advance(nowMs int64) {
 	rest := f.late[:0]
 	for _, o := range f.late {
 		switch {
@@ -252,9 +252,9 @@
 			}
 			switch {
 			case w.clock(nowMs) >= w.leaseEnd:
-				f.finish(w, task, r, sched.EndLapsed)
+				f.finish(w, task, r, sched.EndLeaseExpired)
 			case r.gang != "" && gangs[r.gang].n < r.members && nowMs-r.startMs > gangTimeoutMs:
-				f.finish(w, task, r, sched.EndAlone)
+				f.finish(w, task, r, sched.EndGangIncomplete)
 			case nowMs >= workStartMs+r.runMs && r.fails:
 				f.finish(w, task, r, sched.EndFailed)
 			case nowMs >= workStartMs+r.runMs:
@@ -271,7 +271,7 @@
 }
 
 // gangs returns the state of all gangs by ID.
-func (f *Farm) gangs() map[string]gang {
+func (f *SimFleet) gangs() map[string]gang {
 	all := map[string]gang{}
 	for _, w := range f.workers {
 		for _, r := range w.runs {
@@ -286,9 +286,9 @@
 
 // finishGang ends the remaining members of a gang after one member has ended: as
 // done if that member ended so, otherwise as broken.
-func (f *Farm) finishGang(gangID string, reason sched.How) {
+func (f *SimFleet) finishGang(gangID string, reason sched.EndReason) {
 	if reason != sched.EndDone {
-		reason = sched.EndBroken
+		reason = sched.EndGangBroken
 	}
 	for _, id := range f.ids {
 		w := f.workers[id]
@@ -302,10 +302,10 @@
 }
 
 // finish ends a run and the other members of its gang.
-func (f *Farm) finish(w *farmWorker, task string, r *farmRun, reason sched.How) {
+func (f *SimFleet) finish(w *simWorker, task string, r *simRun, reason sched.EndReason) {
 	delete(w.runs, task)
 	w.lastSeq++
-	w.ended = append(w.ended, sched.Finished{N: w.lastSeq, Task: task, Run: r.number, How: reason})
+	w.ended = append(w.ended, sched.Finished{Seq: w.lastSeq, Task: task, Run: r.number, Reason: reason})
 	w.endedRun[task] = max(w.endedRun[task], r.number)
 	if reason == sched.EndDone {
 		f.doneTasks[task] = true
@@ -317,12 +317,12 @@
 
 // checkStart checks a start against the capacity of the worker, the quota of the
 // team and the other runs of the task, and records violations.
-func (f *Farm) checkStart(w *farmWorker, o ports.StartOrder, spec sched.Spec, step sched.Step) {
+func (f *SimFleet) checkStart(w *simWorker, o ports.StartOrder, spec sched.Spec, step sched.Step) {
 	used := step.Size
 	for _, r := range w.runs {
 		used = used.Plus(r.size)
 	}
-	if !used.Fits(w.info.Capacity) {
+	if !used.FitsIn(w.info.Capacity) {
 		f.addViolation("capacity: %s starts on %s, which would then use %s", o.Task, o.Peer.ID, used)
 	}
 	if f.ackedTasks[o.Task] {
@@ -331,7 +331,7 @@
 	team := step.Size
 	for _, other := range f.workers {
 		for task, r := range other.runs {
-			if task == o.Task && !step.Copies {
+			if task == o.Task && !step.Speculative {
 				f.addViolation("duplicate: %s run %d starts on %s while run %d is on %s", task, o.Run, o.Peer.ID, r.number, other.info.ID)
 			}
 			if r.team == spec.Team {
@@ -339,7 +339,7 @@
 			}
 		}
 	}
-	if limit, ok := f.quotas[spec.Team]; ok && !team.Fits(limit) {
+	if limit, ok := f.quotas[spec.Team]; ok && !team.FitsIn(limit) {
 		f.addViolation("quota: team %s would use %s", spec.Team, team)
 	}
 	f.checkDependencies(o, spec, step)
@@ -347,9 +347,9 @@
 
 // checkDependencies checks that all tasks of the steps that this one depends on
 // are done.
-func (f *Farm) checkDependencies(o ports.StartOrder, spec sched.Spec, step sched.Step) {
+func (f *SimFleet) checkDependencies(o ports.StartOrder, spec sched.Spec, step sched.Step) {
 	ref, _ := sched.ParseRef(o.Task)
-	for _, d := range step.After {
+	for _, d := range step.DependsOn {
 		for i := range spec.Steps[d].Count {
 			if before := (sched.Ref{Job: ref.Job, Occ: ref.Occ, Step: d, Index: i}).String(); !f.doneTasks[before] {
 				f.addViolation("dependency: %s starts before %s is done", o.Task, before)
@@ -359,14 +359,14 @@
 }
 
 // addViolation records a violation of a guarantee.
-func (f *Farm) addViolation(format string, args ...any) {
+func (f *SimFleet) addViolation(format string, args ...any) {
 	f.violations = append(f.violations, fmt.Sprintf(format, args...))
 }
 
 func refused(r ports.Refusal) error { return &ports.RefusedError{Reason: r, Status: 409} }
 
 // checkToken refuses a stale fencing token and stores a new one.
-func (w *farmWorker) checkToken(token int64) error {
+func (w *simWorker) checkToken(token int64) error {
 	if token < w.maxToken {
 		return refused(ports.RefusedFence)
 	}
@@ -375,27 +375,27 @@
 }
 
 // start carries out a start order. The caller holds f.mu.
-func (f *Farm) start(o ports.StartOrder, nowMs int64) error {
+func (f *SimFleet) start(o ports.StartOrder, nowMs int64) error {
 	w := f.workers[o.Peer.ID]
 	if err := w.checkToken(o.Token); err != nil {
 		return err
 	}
 	if o.LeaseEnd <= w.clock(nowMs) {
-		return refused(ports.RefusedLate)
+		return refused(ports.RefusedLeaseEnded)
 	}
 	w.renew(o.LeaseEnd, nowMs)
 	if r := w.runs[o.Task]; r != nil && r.number == o.Run {
 		return nil
 	}
 	if o.Run <= w.endedRun[o.Task] {
-		return refused(ports.RefusedOld)
+		return refused(ports.RefusedStaleRun)
 	}
 	ref, _ := sched.ParseRef(o.Task)
 	spec := f.specs[ref.Job]
 	step := spec.Steps[ref.Step]
 	f.checkStart(w, o, spec, step)
 	f.starts++
-	r := &farmRun{
+	r := &simRun{
 		number: o.Run, size: step.Size, team: spec.Team, startMs: nowMs, runMs: step.EstimateMs, fails: f.rand.Float64() < f.faults.Fail,
 	}
 	if step.Gang {
@@ -406,7 +406,7 @@
 }
 
 // stop carries out a stop order. The caller holds f.mu.
-func (f *Farm) stop(o ports.StopOrder, nowMs int64) error {
+func (f *SimFleet) stop(o ports.StopOrder, nowMs int64) error {
 	w := f.workers[o.Peer.ID]
 	if err := w.checkToken(o.Token); err != nil {
 		return err
@@ -418,17 +418,17 @@
 	return nil
 }
 
-// HoldMaxMs is the maximum lease duration that a worker of a Farm grants.
-const HoldMaxMs = 10_000
+// MaxLeaseMs is the maximum lease duration that a worker of a SimFleet grants.
+const MaxLeaseMs = 10_000
 
-// renew extends the lease to end, limited to HoldMaxMs from now.
-func (w *farmWorker) renew(end, nowMs int64) {
-	w.leaseEnd = max(w.leaseEnd, min(end, w.clock(nowMs)+HoldMaxMs))
+// renew extends the lease to end, limited to MaxLeaseMs from now.
+func (w *simWorker) renew(end, nowMs int64) {
+	w.leaseEnd = max(w.leaseEnd, min(end, w.clock(nowMs)+MaxLeaseMs))
 }
 
 // drawFault draws the fault of an order: 0 means none, -1 means that the answer is
 // lost, and a positive number is the delay of a late order in milliseconds.
-func (f *Farm) drawFault() int64 {
+func (f *SimFleet) drawFault() int64 {
 	x := f.rand.Float64()
 	switch {
 	case x < f.faults.Late:
@@ -440,7 +440,7 @@
 }
 
 // reachableWorker returns the worker, or errNoAnswer if it is unreachable.
-func (f *Farm) reachableWorker(p ports.Peer) (*farmWorker, error) {
+func (f *SimFleet) reachableWorker(p ports.Peer) (*simWorker, error) {
 	w := f.workers[p.ID]
 	if w == nil || w.unreachable || w.down {
 		return nil, errNoAnswer
@@ -450,7 +450,7 @@
 
 // StartAt handles a start order at time nowMs and returns the time of the
 // worker's clock.
-func (f *Farm) StartAt(o ports.StartOrder, nowMs int64) (clock int64, err error) {
+func (f *SimFleet) StartAt(o ports.StartOrder, nowMs int64) (clock int64, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.advance(nowMs)
@@ -470,7 +470,7 @@
 }
 
 // StopAt handles a stop order at time nowMs.
-func (f *Farm) StopAt(o ports.StopOrder, nowMs int64) error {
+func (f *SimFleet) StopAt(o ports.StopOrder, nowMs int64) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.advance(nowMs)
@@ -488,21 +488,21 @@
 	return f.stop(o, nowMs)
 }
 
-// HoldAt handles a lease renewal at time nowMs.
-func (f *Farm) HoldAt(r ports.HoldRequest, nowMs int64) (ports.HoldAnswer, error) {
+// HeartbeatAt handles a lease renewal at time nowMs.
+func (f *SimFleet) HeartbeatAt(r ports.HeartbeatRequest, nowMs int64) (ports.HeartbeatResponse, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.advance(nowMs)
 	w, err := f.reachableWorker(r.Peer)
 	if err != nil {
-		return ports.HoldAnswer{}, err
+		return ports.HeartbeatResponse{}, err
 	}
 	if err := w.checkToken(r.Token); err != nil {
-		return ports.HoldAnswer{}, err
+		return ports.HeartbeatResponse{}, err
 	}
 	w.renew(r.LeaseEnd, nowMs)
 	f.acknowledge(w, r.Seen)
-	h := ports.HoldAnswer{Clock: w.clock(nowMs), Born: w.info.Born}
+	h := ports.HeartbeatResponse{Clock: w.clock(nowMs), Incarnation: w.info.Incarnation}
 	for task, run := range w.runs {
 		h.Running = append(h.Running, sched.Running{Task: task, Run: run.number, Percent: 100})
 	}
@@ -513,14 +513,14 @@
 // acknowledge drops the finished runs with numbers up to seen. It records their
 // tasks as acknowledged if they ended successfully after the last expiry of the
 // lease.
-func (f *Farm) acknowledge(w *farmWorker, seen int64) {
+func (f *SimFleet) acknowledge(w *simWorker, seen int64) {
 	rest := w.ended[:0]
 	for _, e := range w.ended {
-		if e.N > seen {
+		if e.Seq > seen {
 			rest = append(rest, e)
 			continue
 		}
-		if e.How == sched.EndDone && e.N > w.seqAtExpiry {
+		if e.Reason == sched.EndDone && e.Seq > w.seqAtExpiry {
 			f.ackedTasks[e.Task] = true
 		}
 	}
--- a/internal/plat/fakes/store.go
+++ b/internal/plat/fakes/store.go
@@ -68,9 +68,9 @@
 	return s.calls
 }
 
-// Forget expires all records of a topic. Newest still returns the newest record
+// Compact expires all records of a topic. Newest still returns the newest record
 // of each key.
-func (s *Store) Forget(name string) {
+func (s *Store) Compact(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t := s.topic(name)
--- a/internal/plat/fakes/worker.go
+++ b/internal/plat/fakes/worker.go
@@ -84,7 +84,7 @@
 
 // StartFleet starts the workers on cfg.Addr.
 func StartFleet(cfg FleetConfig) (f *Fleet, err error) {
-	defer fault.Note(&err, "start fake workers")
+	defer fault.Annotate(&err, "start fake workers")
 	f = &Fleet{workers: map[string]*fakeWorker{}}
 	f.srv, err = httpd.Listen(httpd.Config{Name: "fleet", Addr: cfg.Addr, Routes: []rest.Route{
 		post("/w/:id/start", f.handler((*fakeWorker).start)),
@@ -175,7 +175,7 @@
 	if s.Dead {
 		// The runs end as if the lease had expired; the new incarnation does not report them.
 		for a := range w.running {
-			w.finish(a, worker.EndLapsed)
+			w.finish(a, worker.EndLeaseExpired)
 		}
 		clear(w.finished)
 		w.boot++
@@ -408,7 +408,7 @@
 		return nil, err
 	}
 	w.token.Seq = max(w.token.Seq, req.Token.Seq)
-	for _, a := range req.Forget {
+	for _, a := range req.Recorded {
 		delete(w.finished, a)
 	}
 	if req.TTLMs > 0 {
@@ -434,7 +434,7 @@
 		return
 	}
 	for a := range w.running {
-		w.finish(a, worker.EndLapsed)
+		w.finish(a, worker.EndLeaseExpired)
 	}
 	w.markChanged()
 }
--- a/internal/plat/hosts/hosts.go
+++ b/internal/plat/hosts/hosts.go
@@ -91,7 +91,7 @@
 
 // List returns the merged list. It fails only if no part answers.
 func (c *Client) List(ctx context.Context) (l List, err error) {
-	defer fault.Note(&err, "read host list")
+	defer fault.Annotate(&err, "read host list")
 	answered := 0
 	var firstErr error
 	for i, u := range c.cfg.URLs {
@@ -117,5 +117,5 @@
 func (c *Client) fetchPart(ctx context.Context, url string) (List, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.cfg.Timeout)
 	defer cancel()
-	return httpd.Exchange[List](ctx, http.MethodGet, url+"/hosts", nil)
+	return httpd.Call[List](ctx, http.MethodGet, url+"/hosts", nil)
 }
--- a/internal/plat/ports/ports.go
+++ b/internal/plat/ports/ports.go
@@ -2,17 +2,17 @@
 // adapter: the requests to and answers from the store, the workers and the
 // advice service.
 //
-// The scheduler uses only these types. An adapter translates names and formats
-// and makes no decisions: it does not retry, delay requests or choose between
-// servers. Errors wrap a *RefusedError, *GoneError or *fault.Error. Outcome NotRun means
-// that the request had no effect, for example because no connection could be
-// made. Unknown means that the request may have been carried out, or may be
-// carried out later.
+// The scheduler uses only these types. An adapter translates names and formats and
+// makes no decisions: it does not retry, delay requests or choose between servers.
+// Errors wrap a *RefusedError, *GoneError or *fault.Error. Outcome NotRun means
+// that the request had no effect, for example because no connection could be made.
+// Unknown means that the request may have been carried out, or may be carried out
+// later.
 //
 // # Usage
 //
 //	res, err := store.Append(ctx, ports.AppendRequest{Topic: "keyed.jobs", Epoch: 7, Seq: 3, Records: recs})
-//	list, err := workers.Hold(ctx, ports.HoldRequest{Peer: peer, Token: 7, LeaseEnd: 486000})
+//	list, err := workers.Heartbeat(ctx, ports.HeartbeatRequest{Peer: peer, Token: 7, LeaseEnd: 486000})
 package ports
 
 import (
@@ -45,15 +45,15 @@
 
 // Refusal reasons.
 const (
-	RefusedFence    Refusal = "fence"    // stale fencing token (worker) or epoch (store)
-	RefusedSequence Refusal = "sequence" // gap in the sequence numbers of the writer
-	RefusedOld      Refusal = "old"      // a run with this number or a higher one has ended on the worker
-	RefusedLate     Refusal = "late"     // the lease end in the order had passed when the order arrived
-	RefusedRoom     Refusal = "room"     // not enough free capacity for the task
-	RefusedTicket   Refusal = "ticket"   // the ticket is missing or has expired
-	RefusedReborn   Refusal = "reborn"   // the worker has restarted: another incarnation has the address
-	RefusedBusy     Refusal = "busy"     // the store or worker is overloaded or unhealthy
-	RefusedOther    Refusal = "other"
+	RefusedFence       Refusal = "fence"    // stale fencing token (worker) or epoch (store)
+	RefusedSequence    Refusal = "sequence" // gap in the sequence numbers of the writer
+	RefusedStaleRun    Refusal = "old"      // a run with this number or a higher one has ended on the worker
+	RefusedLeaseEnded  Refusal = "late"     // the lease end in the order had passed when the order arrived
+	RefusedCapacity    Refusal = "room"     // not enough free capacity for the task
+	RefusedTicket      Refusal = "ticket"   // the ticket is missing or has expired
+	RefusedIncarnation Refusal = "reborn"   // the worker has restarted: another incarnation has the address
+	RefusedBusy        Refusal = "busy"     // the store or worker is overloaded or unhealthy
+	RefusedOther       Refusal = "other"
 )
 
 // RefusedError reports that the other side refused a request, which had no effect.
@@ -135,7 +135,7 @@
 }
 
 // Peer is the ID and the address of a worker. A worker with another ID at the
-// address refuses the request with RefusedReborn.
+// address refuses the request with RefusedIncarnation.
 type Peer struct {
 	ID   string
 	Addr string
@@ -143,14 +143,14 @@
 
 // StartOrder orders a worker to run a task.
 type StartOrder struct {
-	Peer     Peer
-	Token    int64  // fencing token
-	Task     string // task reference; see package sched
-	Run      int    // number of the run of the task
-	Payload  string
-	LeaseEnd int64  // on the worker's clock, in milliseconds
-	Saved    string // checkpoint to resume from
-	Ticket   string // of the advice service; empty if none is needed
+	Peer       Peer
+	Token      int64  // fencing token
+	Task       string // task reference; see package sched
+	Run        int    // number of the run of the task
+	Payload    string
+	LeaseEnd   int64  // on the worker's clock, in milliseconds
+	Checkpoint string // checkpoint to resume from
+	Ticket     string // of the advice service; empty if none is needed
 }
 
 // StopOrder ends a run of a task.
@@ -161,9 +161,9 @@
 	Run   int
 }
 
-// HoldRequest renews the lease of a worker, which covers all its runs, and asks
+// HeartbeatRequest renews the lease of a worker, which covers all its runs, and asks
 // for the lists of running and finished runs.
-type HoldRequest struct {
+type HeartbeatRequest struct {
 	Peer     Peer
 	Token    int64         // fencing token
 	LeaseEnd int64         // on the worker's clock, in milliseconds; 0 does not renew the lease
@@ -171,12 +171,12 @@
 	Wait     time.Duration // long poll: how long the worker may wait for a change
 }
 
-// HoldAnswer lists the running and the unacknowledged finished runs of a worker.
-type HoldAnswer struct {
-	Clock    int64 // time of the worker's clock, in milliseconds
-	Born     int64 // start time of the incarnation, in milliseconds since 1970
-	Running  []sched.Running
-	Finished []sched.Finished
+// HeartbeatResponse lists the running and the unacknowledged finished runs of a worker.
+type HeartbeatResponse struct {
+	Clock       int64 // time of the worker's clock, in milliseconds
+	Incarnation int64 // start time of the incarnation, in milliseconds since 1970
+	Running     []sched.Running
+	Finished    []sched.Finished
 }
 
 // Workers sends orders to workers.
@@ -184,7 +184,7 @@
 	// Start returns the time of the worker's clock, in milliseconds.
 	Start(ctx context.Context, o StartOrder) (clock int64, err error)
 	Stop(ctx context.Context, o StopOrder) error
-	Hold(ctx context.Context, r HoldRequest) (HoldAnswer, error)
+	Heartbeat(ctx context.Context, r HeartbeatRequest) (HeartbeatResponse, error)
 }
 
 // AdviceRequest asks the advice service which of the workers may run a step.
@@ -204,8 +204,8 @@
 	Advise(ctx context.Context, r AdviceRequest) (Advice, error)
 }
 
-// Site is one version of the operators' configuration.
-type Site struct {
+// ClusterConfig is one version of the operators' configuration.
+type ClusterConfig struct {
 	Version int64
 	Queues  []sched.Queue
 	Teams   []Team
--- a/internal/plat/stream/replay.go
+++ b/internal/plat/stream/replay.go
@@ -140,7 +140,7 @@
 // EncodeSnapshot encodes a snapshot of the machine's current state for the
 // stream.
 func (r *Replay) EncodeSnapshot() (data []byte, err error) {
-	defer fault.Note(&err, "snapshot of stream %q", r.Stream)
+	defer fault.Annotate(&err, "snapshot of stream %q", r.Stream)
 	snap, err := r.Machine.Snapshot()
 	if err != nil {
 		return nil, err
--- a/internal/plat/stream/stream.go
+++ b/internal/plat/stream/stream.go
@@ -94,23 +94,23 @@
 
 // Append appends a record to the stream; see Log.
 func (c *Client) Append(ctx context.Context, stream string, data []byte) (offset int64, err error) {
-	defer fault.Note(&err, "append to stream %q", stream)
+	defer fault.Annotate(&err, "append to stream %q", stream)
 	ctx, cancel := context.WithTimeout(ctx, c.cfg.Timeout)
 	defer cancel()
-	a, err := httpd.Exchange[AppendAnswer](ctx, http.MethodPost, c.url(stream), AppendRequest{Data: data})
+	a, err := httpd.Call[AppendAnswer](ctx, http.MethodPost, c.url(stream), AppendRequest{Data: data})
 	return a.Offset, err
 }
 
 // Read returns records of the stream; see Log.
 func (c *Client) Read(ctx context.Context, req ReadRequest) (p Page, err error) {
-	defer fault.Note(&err, "read stream %q from offset %d", req.Stream, req.From)
+	defer fault.Annotate(&err, "read stream %q from offset %d", req.Stream, req.From)
 	if req.Max == 0 {
 		req.Max = defaultMax
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.cfg.Timeout+req.Wait)
 	defer cancel()
 	u := fmt.Sprintf("%s?from=%d&max=%d&waitMs=%d", c.url(req.Stream), req.From, req.Max, req.Wait.Milliseconds())
-	return httpd.Exchange[Page](ctx, http.MethodGet, u, nil)
+	return httpd.Call[Page](ctx, http.MethodGet, u, nil)
 }
 
 func (c *Client) url(stream string) string {
--- a/internal/plat/target/target.go
+++ b/internal/plat/target/target.go
@@ -104,7 +104,7 @@
 
 // Call sends one request and returns its answer.
 func (c *Client) Call(ctx context.Context, req Request) (a Answer, err error) {
-	defer fault.Note(&err, "call target %q", c.cfg.ID)
+	defer fault.Annotate(&err, "call target %q", c.cfg.ID)
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, c.cfg.URL+"/call/"+req.Service, bytes.NewReader(req.Body))
 	if err != nil {
 		return a, fault.New(fault.Internal, fault.NotRun, "%v", err)
@@ -114,7 +114,7 @@
 	r.GetBody = nil
 	r.Header.Set(HeaderID, req.ID)
 	r.Header.Set(HeaderChecksum, Checksum(req.Body))
-	r, connected := httpd.Traced(r)
+	r, connected := httpd.TraceConn(r)
 	resp, err := c.service.DoRequest(r)
 	if errors.Is(err, breaker.ErrServiceUnavailable) {
 		return a, fault.New(fault.Unavailable, fault.NotRun, "%v", err)
@@ -132,17 +132,17 @@
 func (c *Client) read(resp *http.Response, id string) (a Answer, err error) {
 	if got := resp.Header.Get(HeaderID); got != id {
 		c.transport.CloseIdleConnections()
-		return a, fault.New(fault.BadAnswer, fault.Unknown, "answer is for request %q, not %q", got, id)
+		return a, fault.New(fault.BadResponse, fault.Unknown, "answer is for request %q, not %q", got, id)
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, MaxBodyBytes+1))
 	if err != nil {
-		return a, fault.New(fault.BadAnswer, fault.Unknown, "answer ends early: %v", err)
+		return a, fault.New(fault.BadResponse, fault.Unknown, "answer ends early: %v", err)
 	}
 	if len(body) > MaxBodyBytes {
-		return a, fault.New(fault.BadAnswer, fault.Unknown, "answer is longer than %d bytes", MaxBodyBytes)
+		return a, fault.New(fault.BadResponse, fault.Unknown, "answer is longer than %d bytes", MaxBodyBytes)
 	}
 	if header, actual := resp.Header.Get(HeaderChecksum), Checksum(body); header != actual {
-		return a, fault.New(fault.BadAnswer, fault.Unknown, "answer body has checksum %q, header says %q", actual, header)
+		return a, fault.New(fault.BadResponse, fault.Unknown, "answer body has checksum %q, header says %q", actual, header)
 	}
 	if resp.StatusCode >= http.StatusInternalServerError {
 		return a, refusal(resp.StatusCode, body)
@@ -154,9 +154,9 @@
 // is NotRun if the executor states so, otherwise Unknown.
 func refusal(status int, body []byte) error {
 	var e fault.Error
-	if err := json.Unmarshal(body, &e); err == nil && e.Ran == fault.NotRun {
+	if err := json.Unmarshal(body, &e); err == nil && e.Outcome == fault.NotRun {
 		e.Code = fault.Unavailable
 		return &e
 	}
-	return fault.New(fault.BadAnswer, fault.Unknown, "executor answered with status %d", status)
+	return fault.New(fault.BadResponse, fault.Unknown, "executor answered with status %d", status)
 }
--- a/internal/plat/target/target_test.go
+++ b/internal/plat/target/target_test.go
@@ -31,9 +31,9 @@
 		sw   fakes.ExecSwitch
 		code fault.Code
 	}{
-		{"crossed", fakes.ExecSwitch{Cross: true}, fault.BadAnswer},
-		{"cut", fakes.ExecSwitch{Cut: true}, fault.BadAnswer},
-		{"corrupt", fakes.ExecSwitch{Corrupt: true}, fault.BadAnswer},
+		{"crossed", fakes.ExecSwitch{Cross: true}, fault.BadResponse},
+		{"cut", fakes.ExecSwitch{Cut: true}, fault.BadResponse},
+		{"corrupt", fakes.ExecSwitch{Corrupt: true}, fault.BadResponse},
 		{"hung up", fakes.ExecSwitch{HangUp: true}, fault.Unavailable},
 		{"late", fakes.ExecSwitch{LateMs: 500}, fault.Timeout},
 	} {
@@ -48,8 +48,8 @@
 			assert.NilError(t, err)
 			e.Set(tc.sw)
 			a, err := call("x")
-			assert.Assert(t, fault.Is(err, tc.code), "%v", err)
-			assert.Equal(t, fault.RanOf(err), fault.Unknown)
+			assert.Assert(t, fault.HasCode(err, tc.code), "%v", err)
+			assert.Equal(t, fault.OutcomeOf(err), fault.Unknown)
 			assert.Equal(t, len(a.Body), 0)
 			e.Set(fakes.ExecSwitch{})
 			a, err = call("after")
@@ -65,7 +65,7 @@
 func TestRefusals(t *testing.T) {
 	e, c := start(t, 0)
 	_, err := c.Call(context.Background(), target.Request{ID: "x", Service: "s"})
-	assert.Equal(t, fault.RanOf(err), fault.NotRun)
+	assert.Equal(t, fault.OutcomeOf(err), fault.NotRun)
 	assert.Equal(t, len(e.Executions()), 0)
 	url := e.List()[0].URL
 	e.Close()
@@ -74,5 +74,5 @@
 	// Unknown.
 	c = target.NewClient(target.ClientConfig{ID: t.Name(), URL: url})
 	_, err = c.Call(context.Background(), target.Request{ID: "y", Service: "s"})
-	assert.Equal(t, fault.RanOf(err), fault.NotRun)
+	assert.Equal(t, fault.OutcomeOf(err), fault.NotRun)
 }
