--- a/internal/plat/worker/worker.go
+++ b/internal/plat/worker/worker.go
@@ -63,11 +63,11 @@
 
 // RenewRequest renews the lease of a worker's tasks and asks for its inventory.
 type RenewRequest struct {
-	Token  Token     `json:"token"`            // the worker refuses later starts with a lower Seq
-	TTLMs  int64     `json:"ttlMs"`            // lease duration from now, in milliseconds; 0 does not renew
-	Since  uint64    `json:"since"`            // version of the last answer; the worker waits for a newer one; 0 asks for the full inventory
-	WaitMs int64     `json:"waitMs"`           // maximum wait for a version newer than Since, in milliseconds
-	Forget []Attempt `json:"forget,omitempty"` // finished attempts whose result is recorded; the worker drops them
+	Token    Token     `json:"token"`            // the worker refuses later starts with a lower Seq
+	TTLMs    int64     `json:"ttlMs"`            // lease duration from now, in milliseconds; 0 does not renew
+	Since    uint64    `json:"since"`            // version of the last answer; the worker waits for a newer one; 0 asks for the full inventory
+	WaitMs   int64     `json:"waitMs"`           // maximum wait for a version newer than Since, in milliseconds
+	Recorded []Attempt `json:"forget,omitempty"` // finished attempts whose result is recorded; the worker drops them
 }
 
 // Running describes a running attempt.
@@ -92,7 +92,7 @@
 	EndFailed       End = "failed"       // the task itself failed
 	EndStopped      End = "stopped"      // on request, without a checkpoint
 	EndCheckpointed End = "checkpointed" // on request, with a checkpoint
-	EndLapsed       End = "lapsed"       // the worker's lease expired
+	EndLeaseExpired End = "lapsed"       // the worker's lease expired
 )
 
 // Finished is an ended attempt whose result is not yet confirmed as recorded.
@@ -171,28 +171,28 @@
 
 // Start asks the worker to run a task.
 func (c *Client) Start(ctx context.Context, req StartRequest) (err error) {
-	defer fault.Note(&err, "start task %q", req.Attempt.Task)
+	defer fault.Annotate(&err, "start task %q", req.Attempt.Task)
 	_, err = post[struct{}](ctx, c, "/start", c.cfg.Timeout, req)
 	return err
 }
 
 // Renew renews the lease and returns the inventory.
 func (c *Client) Renew(ctx context.Context, req RenewRequest) (inv Inventory, err error) {
-	defer fault.Note(&err, "renew worker %s", c.cfg.URL)
+	defer fault.Annotate(&err, "renew worker %s", c.cfg.URL)
 	wait := time.Duration(req.WaitMs) * time.Millisecond
 	return post[Inventory](ctx, c, "/renew", c.cfg.Timeout+wait, req)
 }
 
 // Stop stops an attempt.
 func (c *Client) Stop(ctx context.Context, req StopRequest) (err error) {
-	defer fault.Note(&err, "stop task %q", req.Attempt.Task)
+	defer fault.Annotate(&err, "stop task %q", req.Attempt.Task)
 	_, err = post[struct{}](ctx, c, "/stop", c.cfg.Timeout, req)
 	return err
 }
 
 // Throttle limits the CPU usage of an attempt.
 func (c *Client) Throttle(ctx context.Context, req ThrottleRequest) (err error) {
-	defer fault.Note(&err, "throttle task %q", req.Attempt.Task)
+	defer fault.Annotate(&err, "throttle task %q", req.Attempt.Task)
 	_, err = post[struct{}](ctx, c, "/throttle", c.cfg.Timeout, req)
 	return err
 }
@@ -200,5 +200,5 @@
 func post[Resp any](ctx context.Context, c *Client, path string, timeout time.Duration, req any) (Resp, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	return httpd.Exchange[Resp](ctx, http.MethodPost, c.cfg.URL+path, req)
+	return httpd.Call[Resp](ctx, http.MethodPost, c.cfg.URL+path, req)
 }
--- a/internal/tool/caller/caller.go
+++ b/internal/tool/caller/caller.go
@@ -63,7 +63,7 @@
 // returns permanent errors immediately.
 func exchange[Resp any](ctx context.Context, c *Client, method, path string, req any) (resp Resp, err error) {
 	for try := 1; ; try++ {
-		resp, err = httpd.ExchangeHeader[Resp](ctx, method, c.nextBaseURL()+path, c.authHeader(), req)
+		resp, err = httpd.CallWithHeader[Resp](ctx, method, c.nextBaseURL()+path, c.authHeader(), req)
 		if err == nil || try >= c.cfg.MaxAttempts || ctx.Err() != nil || !isRetryable(err) {
 			return resp, err
 		}
@@ -135,11 +135,11 @@
 
 // Edit applies an operator's configuration edit. If the edit has no ID, Edit adds
 // one so that a retry is not applied twice.
-func (c *Client) Edit(ctx context.Context, e config.Edit) (config.Result, error) {
+func (c *Client) Edit(ctx context.Context, e config.Edit) (config.EditResult, error) {
 	if e.ID == "" {
 		e.ID = rand.Text()
 	}
-	return exchange[config.Result](ctx, c, http.MethodPost, "/edits", e)
+	return exchange[config.EditResult](ctx, c, http.MethodPost, "/edits", e)
 }
 
 // Dump returns the state of one entry host.
@@ -182,7 +182,7 @@
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return a, fault.New(fault.BadAnswer, fault.Unknown, "response body is incomplete: %v", err)
+		return a, fault.New(fault.BadResponse, fault.Unknown, "response body is incomplete: %v", err)
 	}
 	if resp.Header.Get(entry.HeaderRan) != string(fault.Done) {
 		return a, httpd.DecodeProblem(resp.StatusCode, body)
--- a/internal/tool/cmds/operate.go
+++ b/internal/tool/cmds/operate.go
@@ -105,7 +105,7 @@
 				if use == "create" {
 					e.base = 0
 				}
-				return e.apply(cmd, config.Edit{Kind: config.SetPlan, Name: args[0], Share: share, Limit: limit})
+				return e.apply(cmd, config.Edit{Operation: config.SetPlan, Name: args[0], Share: share, Limit: limit})
 			},
 		})
 		cmd.Flags().Int64Var(&share, "share", 1, "weight when the fleet is full")
@@ -118,7 +118,7 @@
 	plan.AddCommand(e.addTo(&cobra.Command{
 		Use: "delete TEAM", Short: "Delete a plan", Args: exactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return e.apply(cmd, config.Edit{Kind: config.DeletePlan, Name: args[0]})
+			return e.apply(cmd, config.Edit{Operation: config.DeletePlan, Name: args[0]})
 		},
 	}))
 	plan.AddCommand(newConfigList(f, "List the plans", func(w io.Writer, c entry.ConfigAnswer) {
@@ -162,7 +162,7 @@
 func newAllow(f *flags) *cobra.Command {
 	allow := &cobra.Command{Use: "allow", Short: "The list of what a plan may use"}
 	e := &editFlags{f: f}
-	change := func(use, short string, kind config.Kind) *cobra.Command {
+	change := func(use, short string, kind config.Operation) *cobra.Command {
 		return e.addTo(&cobra.Command{
 			Use: use + " TEAM KIND:NAME...", Short: short,
 			Args: func(cmd *cobra.Command, args []string) error {
@@ -172,7 +172,7 @@
 				return nil
 			},
 			RunE: func(cmd *cobra.Command, args []string) error {
-				return e.apply(cmd, config.Edit{Kind: kind, Name: args[0], Items: args[1:]})
+				return e.apply(cmd, config.Edit{Operation: kind, Name: args[0], Items: args[1:]})
 			},
 		})
 	}
@@ -196,7 +196,7 @@
 		RunE: func(cmd *cobra.Command, args []string) error {
 			id, secret := strings.ToLower(rand.Text()[:10]), rand.Text()
 			e.base = 0
-			err := e.apply(cmd, config.Edit{Kind: config.GiveKey, Name: id, Team: args[0], Secret: config.HashSecret(secret)})
+			err := e.apply(cmd, config.Edit{Operation: config.IssueKey, Name: id, Team: args[0], SecretHash: config.HashSecret(secret)})
 			if err != nil {
 				return err
 			}
@@ -207,14 +207,14 @@
 	key.AddCommand(e.addTo(&cobra.Command{
 		Use: "withdraw ID", Short: "Withdraw a key", Args: exactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return e.apply(cmd, config.Edit{Kind: config.WithdrawKey, Name: args[0]})
+			return e.apply(cmd, config.Edit{Operation: config.RevokeKey, Name: args[0]})
 		},
 	}))
 	key.AddCommand(newConfigList(f, "List the keys, without their secrets", func(w io.Writer, c entry.ConfigAnswer) {
 		for _, id := range sortedKeys(c.Keys) {
 			k := c.Keys[id]
 			state := "given"
-			if k.Withdrawn {
+			if k.Revoked {
 				state = "withdrawn"
 			}
 			fmt.Fprintf(w, "%-12s %-20s %s (version %d)\n", id, k.Team, state, k.Version)
@@ -226,17 +226,17 @@
 func newAz(f *flags) *cobra.Command {
 	az := &cobra.Command{Use: "az", Short: "Availability zones"}
 	e := &editFlags{f: f}
-	change := func(use, short string, kind config.Kind) *cobra.Command {
+	change := func(use, short string, kind config.Operation) *cobra.Command {
 		return e.addTo(&cobra.Command{
 			Use: use + " AZ", Short: short, Args: exactArgs(1),
 			RunE: func(cmd *cobra.Command, args []string) error {
-				return e.apply(cmd, config.Edit{Kind: kind, Name: args[0]})
+				return e.apply(cmd, config.Edit{Operation: kind, Name: args[0]})
 			},
 		})
 	}
 	az.AddCommand(
-		change("out", "Take an availability zone out of service", config.AzOut),
-		change("back", "Bring an availability zone back", config.AzBack),
+		change("out", "Take an availability zone out of service", config.TakeAzOut),
+		change("back", "Bring an availability zone back", config.ReturnAz),
 		newConfigList(f, "List the availability zones that were ever taken out", func(w io.Writer, c entry.ConfigAnswer) {
 			for _, name := range sortedKeys(c.Azs) {
 				state := "in service"
--- a/internal/tool/cmds/platform.go
+++ b/internal/tool/cmds/platform.go
@@ -58,7 +58,7 @@
 	}
 	ctx, cancel := signalContext()
 	defer cancel()
-	out := logs.NewAsync(w, maxBufferedLines)
+	out := logs.NewAsyncWriter(w, maxBufferedLines)
 	defer out.Close()
 	h, err := gate.Start(gateConfig(set, out))
 	if err != nil {
@@ -96,16 +96,16 @@
 	client := platform.NewClient(platform.ClientConfig{Store: set.StoreAddr, Advice: set.AdviceAddr, Cloud: set.CloudAddr})
 	return gate.Config{
 		Host: set.Host, IP: set.IP, Az: set.Az, Listen: set.Frontend, Ready: set.Ready, ReadyPath: platform.ReadyPath,
-		PeerPort: set.PeerPort, MetricPort: set.MetricPort, Power: int64(set.Cores * 1000),
+		PeerPort: set.PeerPort, MetricPort: set.MetricPort, CPUMillis: int64(set.Cores * 1000),
 		Store: client, Workers: client, Adviser: client,
 		Codec: gate.Codec{
 			Job: platform.ParseJob, JobID: platform.ParseJobID, Key: platform.KeyOf, Deadline: platform.DeadlineOf, State: platform.StateBody, Pending: platform.PendingBody,
 		},
 		OperatorTopic: platform.TopicOperator, WorkerTopic: platform.TopicWorkers,
 		JobTopic: platform.KeyedTopic(jobTopic), HostTopic: platform.KeyedTopic(hostTopic),
-		ParseSite: platform.ParseSite, ParseWorker: platform.ParseWorker, WorkerID: platform.WorkerID,
-		ParseOperator: platform.ParseOperatorKey,
-		KeepMs:        set.StatusS * 1000, LeaseMax: set.HoldMaxMs,
+		ParseConfig: platform.ParseConfig, ParseWorker: platform.ParseWorker, WorkerID: platform.WorkerID,
+		ParseOperatorKey: platform.ParseOperatorKey,
+		RetentionMs:      set.StatusS * 1000, MaxLeaseMs: set.MaxLeaseMs,
 		Logger: logs.NewJSON(out, "info"),
 	}
 }
--- a/internal/tool/cmds/root.go
+++ b/internal/tool/cmds/root.go
@@ -71,7 +71,7 @@
 func describe(err error) string {
 	var e *fault.Error
 	if errors.As(err, &e) {
-		return fmt.Sprintf("%s (ran: %s)", err, e.Ran)
+		return fmt.Sprintf("%s (ran: %s)", err, e.Outcome)
 	}
 	return err.Error()
 }
--- a/internal/tool/demo/cell.go
+++ b/internal/tool/demo/cell.go
@@ -100,7 +100,7 @@
 // startCell starts the stand-ins and the entry hosts of a scenario.
 func startCell(cfg Config) (c *cell, err error) {
 	s := cfg.Scenario
-	defer fault.Note(&err, "start cell %q", s.Cell.Name)
+	defer fault.Annotate(&err, "start cell %q", s.Cell.Name)
 	c = &cell{scenario: s}
 	defer func() {
 		if err != nil {
@@ -217,7 +217,7 @@
 		s.ready.Store(false)
 		return
 	}
-	_, err := httpd.Exchange[struct{}](ctx, http.MethodGet, s.api()+"/readyz", nil)
+	_, err := httpd.Call[struct{}](ctx, http.MethodGet, s.api()+"/readyz", nil)
 	s.ready.Store(err == nil)
 }
 
@@ -289,9 +289,9 @@
 	for _, t := range c.scenario.Teams {
 		limit := jobs.Size{CPU: int64(t.CPU * 1000), Mem: jobs.Unlimited, Accel: jobs.Unlimited}
 		for _, e := range []config.Edit{
-			{Kind: config.SetPlan, Name: t.Name, Share: t.Share, Limit: limit},
-			{Kind: config.AddAllow, Name: t.Name, Items: []string{"queue:*", "service:*", "az:*"}},
-			{Kind: config.GiveKey, Name: t.Name, Team: t.Name, Secret: config.HashSecret(keySecret)},
+			{Operation: config.SetPlan, Name: t.Name, Share: t.Share, Limit: limit},
+			{Operation: config.AddAllow, Name: t.Name, Items: []string{"queue:*", "service:*", "az:*"}},
+			{Operation: config.IssueKey, Name: t.Name, Team: t.Name, SecretHash: config.HashSecret(keySecret)},
 		} {
 			if _, err := op.Edit(ctx, e); err != nil {
 				return err
--- a/internal/tool/demo/load.go
+++ b/internal/tool/demo/load.go
@@ -125,7 +125,7 @@
 			})
 			return
 		}
-		if code := fault.From(err).Code; code == fault.Denied || code == fault.NoKey || code == fault.Infeasible {
+		if code := fault.From(err).Code; code == fault.Denied || code == fault.Unauthenticated || code == fault.Infeasible {
 			break
 		}
 		select {
@@ -157,7 +157,7 @@
 	a, err := l.client(host, k.Team).Call(ctx, caller.Call{
 		Service: l.c.scenario.Cell.Service, ID: id, Idempotent: k.Idempotent, Timeout: k.Timeout, Body: []byte(id),
 	})
-	c.EndMs, c.Ran, c.Complete = nowMs(), fault.RanOf(err), strings.HasSuffix(string(a.Body), `"echo":`+strconv.Quote(id)+"}")
+	c.EndMs, c.Ran, c.Complete = nowMs(), fault.OutcomeOf(err), strings.HasSuffix(string(a.Body), `"echo":`+strconv.Quote(id)+"}")
 	if err != nil {
 		c.Code = fault.From(err).Code
 	}
--- a/internal/tool/demo/report.go
+++ b/internal/tool/demo/report.go
@@ -218,10 +218,10 @@
 			continue
 		}
 		full++
-		var claims []queue.Claim
+		var claims []queue.TeamDemand
 		for team, w := range weights {
 			limit := float64(h.Limits[team].CPU)
-			claims = append(claims, queue.Claim{Team: team, Weight: w, Wants: min(wants[team], limit) / total})
+			claims = append(claims, queue.TeamDemand{Team: team, Weight: w, Demand: min(wants[team], limit) / total})
 		}
 		fair := queue.FairShares(claims)
 		var distance float64
--- a/internal/tool/demo/run.go
+++ b/internal/tool/demo/run.go
@@ -233,8 +233,8 @@
 		if o == nil || o == h || h == nil {
 			continue
 		}
-		h.Cut(o.Peer(), on)
-		o.Cut(h.Peer(), on)
+		h.SetBlocked(o.Peer(), on)
+		o.SetBlocked(h.Peer(), on)
 	}
 }
 
@@ -267,16 +267,16 @@
 }
 
 func (r *run) changeAz(ctx context.Context, f scene.Fault) {
-	kind := config.AzOut
+	kind := config.TakeAzOut
 	if f.Kind == scene.AzBack {
-		kind = config.AzBack
+		kind = config.ReturnAz
 	}
-	at, ok := r.edit(ctx, config.Edit{Kind: kind, Name: f.Subject, By: "demo"})
+	at, ok := r.edit(ctx, config.Edit{Operation: kind, Name: f.Subject, By: "demo"})
 	if !ok {
 		return
 	}
 	r.record(func(hist *judge.History) {
-		if kind == config.AzOut {
+		if kind == config.TakeAzOut {
 			hist.AzOut = append(hist.AzOut, judge.Interval{Name: f.Subject, StartMs: at})
 			return
 		}
@@ -289,7 +289,7 @@
 }
 
 func (r *run) withdrawKey(ctx context.Context, team string) {
-	if at, ok := r.edit(ctx, config.Edit{Kind: config.WithdrawKey, Name: team, By: "demo"}); ok {
+	if at, ok := r.edit(ctx, config.Edit{Operation: config.RevokeKey, Name: team, By: "demo"}); ok {
 		r.record(func(hist *judge.History) {
 			hist.Withdrawn = append(hist.Withdrawn, judge.Interval{Name: team, StartMs: at})
 		})
--- a/internal/tool/gauge/pure.go
+++ b/internal/tool/gauge/pure.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"lagooncourse/internal/base/frame"
-	"lagooncourse/internal/cell/books"
+	"lagooncourse/internal/cell/alloc"
 	"lagooncourse/internal/cell/config"
 	"lagooncourse/internal/cell/group"
 	"lagooncourse/internal/cell/jobs"
@@ -75,7 +75,7 @@
 // groupWithJobs returns a group with n waiting jobs.
 func groupWithJobs(n int) *group.State {
 	s := group.NewState("az1-0")
-	s.ApplyBatch(group.Batch{Epoch: 1, Claim: &group.Holder{Host: "e1"}})
+	s.ApplyBatch(group.Batch{Epoch: 1, Claim: &group.Owner{Host: "e1"}})
 	for i := range n {
 		s.ApplyBatch(group.Batch{Epoch: 1, Seq: uint64(i + 1), Records: []group.Record{{Submit: &group.Submit{Spec: spec(i), AtMs: 1}}}})
 	}
@@ -86,8 +86,8 @@
 func startAndEnd(i int) []group.Record {
 	ref := jobs.Ref{Job: jobs.NewID("az1-0", int64(i+1))}
 	return []group.Record{
-		{Start: &group.Start{Ref: ref, Attempt: 1, Site: jobs.Site{Group: "az1-0", Worker: "w0123", Boot: 1796363709761}, AtMs: 1796363709761}},
-		{End: &jobs.End{Ref: ref, Attempt: 1, How: jobs.EndOK, Result: "done", AtMs: 1796363709761}},
+		{Start: &group.Start{Ref: ref, Attempt: 1, Placement: jobs.Placement{Group: "az1-0", Worker: "w0123", Boot: 1796363709761}, AtMs: 1796363709761}},
+		{End: &jobs.End{Ref: ref, Attempt: 1, Reason: jobs.EndOK, Result: "done", AtMs: 1796363709761}},
 	}
 }
 
@@ -144,10 +144,10 @@
 		for i := range shapes * 20 {
 			q.Add(queue.Item{
 				Ref: jobs.Ref{Job: jobs.NewID("g", int64(i+1))}, Team: fmt.Sprint("t", i%shapes%teams), Kind: jobs.Batch,
-				Size: jobs.Size{CPU: int64(1 + i%shapes/teams)}, Count: 1, AtMs: int64(i),
+				Size: jobs.Size{CPU: int64(1 + i%shapes/teams)}, Count: 1, WaitingSinceMs: int64(i),
 			})
 		}
-		p := q.Pass(queue.View{Fleet: jobs.Size{CPU: 1000}, Used: map[string]jobs.Size{}, Share: map[string]int64{}})
+		p := q.Pass(queue.FleetView{Fleet: jobs.Size{CPU: 1000}, Used: map[string]jobs.Size{}, Weights: map[string]int64{}})
 		return timePerCall(func(int) { p.Next() })
 	}))
 }
@@ -156,18 +156,18 @@
 // workers.
 func reserveTime() Slope {
 	return Fit("reserve room", "workers of a group", "ns", points([]int{20, 80, 320}, func(n int) float64 {
-		b := books.New()
-		var list []books.Worker
+		b := alloc.New()
+		var list []alloc.Worker
 		for i := range n {
-			list = append(list, books.Worker{ID: fmt.Sprintf("w%04d", i), Cap: jobs.Size{CPU: 64_000, Mem: 131_072}})
+			list = append(list, alloc.Worker{ID: fmt.Sprintf("w%04d", i), Capacity: jobs.Size{CPU: 64_000, Mem: 131_072}})
 		}
 		b.SetWorkers(list)
 		for _, w := range list {
-			b.Inventory(w.ID, books.Inventory{})
+			b.ApplyInventory(w.ID, alloc.Inventory{})
 		}
 		return timePerCall(func(i int) {
-			at := books.Attempt{Task: fmt.Sprint(i), Number: 1}
-			b.Reserve(books.Ask{Attempt: at, Kind: jobs.Batch, Size: jobs.Size{CPU: 2000, Mem: 4096}}, 0)
+			at := alloc.Attempt{Task: fmt.Sprint(i), Number: 1}
+			b.Reserve(alloc.ReserveRequest{Attempt: at, Kind: jobs.Batch, Size: jobs.Size{CPU: 2000, Mem: 4096}}, 0)
 			b.Cancel(at)
 		})
 	}))
@@ -220,21 +220,21 @@
 		if err != nil {
 			panic(err) // plain structs
 		}
-		b := books.New()
-		b.SetWorkers([]books.Worker{{ID: "w", Cap: jobs.Size{CPU: 64_000, Mem: 131_072}}})
+		b := alloc.New()
+		b.SetWorkers([]alloc.Worker{{ID: "w", Capacity: jobs.Size{CPU: 64_000, Mem: 131_072}}})
 		return timePerCall(func(int) {
 			var inv worker.Inventory
 			if err := json.Unmarshal(data, &inv); err != nil {
 				panic(err) // encoded above
 			}
-			in := books.Inventory{Boot: inv.Boot}
+			in := alloc.Inventory{Boot: inv.Boot}
 			for _, r := range inv.Running {
-				in.Seen = append(in.Seen, books.Seen{
-					Attempt: books.Attempt{Task: r.Attempt.Task, Number: r.Attempt.Number}, Home: r.Home,
+				in.Attempts = append(in.Attempts, alloc.ReportedAttempt{
+					Attempt: alloc.Attempt{Task: r.Attempt.Task, Number: r.Attempt.Number}, Home: r.Home,
 					Kind: jobs.Kind(r.Class), Size: jobs.Size{CPU: r.CPU, Mem: r.Mem},
 				})
 			}
-			b.Inventory("w", in)
+			b.ApplyInventory("w", in)
 		})
 	}))
 }
@@ -243,14 +243,14 @@
 // one group.
 func descriptionBytes() Slope {
 	return Fit("description of an entry host", "teams with work in its group", "bytes", points([]int{6, 30, 94}, func(n int) float64 {
-		d := wire.Duty{Group: "az1-0", Epoch: 12, Az: "az1", Used: map[string]jobs.Size{}, Waiting: map[string]jobs.Size{}}
+		d := wire.GroupInfo{Group: "az1-0", Epoch: 12, Az: "az1", Used: map[string]jobs.Size{}, Queued: map[string]jobs.Size{}}
 		for i := range n {
 			d.Used[fmt.Sprint("team", i)] = jobs.Size{CPU: 60_000, Mem: 120_000}
-			d.Waiting[fmt.Sprint("team", i)] = jobs.Size{CPU: 60_000, Mem: 120_000}
+			d.Queued[fmt.Sprint("team", i)] = jobs.Size{CPU: 60_000, Mem: 120_000}
 		}
 		return float64(len(mustEncode(wire.Member{
 			ID: "e01", Addr: "10.0.0.1:7400", API: "http://10.0.0.1:7300", Az: "az1", Boot: 1796363709761, Version: 1000,
-			Groups: []wire.Duty{d}, Pools: []wire.Pool{{Group: "az1-0", Az: "az1", Service: "triage", Slots: 64, Busy: 20}},
+			Groups: []wire.GroupInfo{d}, Pools: []wire.Pool{{Group: "az1-0", Az: "az1", Service: "triage", Slots: 64, Busy: 20}},
 		})))
 	}))
 }
@@ -258,13 +258,13 @@
 // keyEdit returns the configuration record that creates the ith key.
 func keyEdit(i int) config.Record {
 	return config.Record{Edit: &config.Edit{
-		ID: fmt.Sprintf("edit-%d", i), Kind: config.GiveKey, Name: fmt.Sprintf("key%d", i), By: "operator",
-		Team: fmt.Sprintf("team%d", i%94), Secret: config.HashSecret("s"),
+		ID: fmt.Sprintf("edit-%d", i), Operation: config.IssueKey, Name: fmt.Sprintf("key%d", i), By: "operator",
+		Team: fmt.Sprintf("team%d", i%94), SecretHash: config.HashSecret("s"),
 	}}
 }
 
-func configWithEdits(n int) *config.Machine {
-	m := config.NewMachine()
+func configWithEdits(n int) *config.StateMachine {
+	m := config.NewStateMachine()
 	for i := range n {
 		m.Apply(int64(i), mustEncode(keyEdit(i)))
 	}
--- a/internal/tool/judge/judge.go
+++ b/internal/tool/judge/judge.go
@@ -159,7 +159,7 @@
 	})
 	for _, c := range changes {
 		sum = sum.Plus(c.size)
-		if !sum.Fits(limit) {
+		if !sum.FitsIn(limit) {
 			return c.atMs, sum, true
 		}
 	}
--- a/internal/tool/judge/judge_test.go
+++ b/internal/tool/judge/judge_test.go
@@ -27,7 +27,7 @@
 		},
 		Calls: []CallRecord{
 			{ID: "c1", Team: "lab", SentMs: 490, EndMs: 510, Ran: fault.Done, Complete: true},
-			{ID: "c2", Team: "lab", SentMs: 590, EndMs: 610, Ran: fault.Unknown, Code: fault.BadAnswer},
+			{ID: "c2", Team: "lab", SentMs: 590, EndMs: 610, Ran: fault.Unknown, Code: fault.BadResponse},
 			{ID: "c3", Team: "guest", SentMs: 90_000, EndMs: 90_010, Ran: fault.NotRun},
 		},
 		Capacity:  map[string]jobs.Size{"w1": {CPU: 4}, "w2": {CPU: 4}},
@@ -72,7 +72,7 @@
 		{"refusal", func(h *History) { h.Calls[0].Ran = fault.NotRun }, []string{`A refusal saying "not run" is true`}},
 		{"twice", func(h *History) { h.Executions = append(h.Executions, fakes.Execution{Target: "t2", ID: "c1~2"}) },
 			[]string{"A non-idempotent request runs at most once"}},
-		{"task twice", func(h *History) { h.Runs[0].End = worker.EndLapsed }, []string{"A non-idempotent request runs at most once"}},
+		{"task twice", func(h *History) { h.Runs[0].End = worker.EndLeaseExpired }, []string{"A non-idempotent request runs at most once"}},
 		{"target", func(h *History) { h.Executions[1].StartMs = late }, []string{"A leaving target gets no new work after a few seconds"}},
 		{"stop", func(h *History) { h.Calls[1].Code = fault.Unavailable }, []string{"Every planned stop cuts off no request"}},
 		{"config, late", func(h *History) { h.Edits[0].InForceMs = 6000 },
--- a/internal/tool/scene/scene.go
+++ b/internal/tool/scene/scene.go
@@ -167,7 +167,7 @@
 // Load reads a scenario from a file or, if the file does not exist, from the
 // embedded scenarios by name.
 func Load(path string) (s Scenario, err error) {
-	defer fault.Note(&err, "scenario %q", path)
+	defer fault.Annotate(&err, "scenario %q", path)
 	data, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		data, err = files.ReadFile("files/" + strings.TrimSuffix(path, ".ini") + ".ini")
