--- a/internal/cell/alloc/alloc.go
+++ b/internal/cell/alloc/alloc.go
@@ -18,11 +18,11 @@
 //
 // # Usage
 //
-//	b := alloc.New()
-//	b.SetWorkers(list)
-//	slot, ok := b.Reserve(alloc.ReserveRequest{Attempt: a, Size: size, UntilMs: nowMs + 2000}, nowMs)
-//	order, ok := b.Begin(a)                        // before the start request is sent
-//	reports := b.ApplyInventory(worker, inventory) // after each lease renewal
+//	al := alloc.New()
+//	al.SetWorkers(list)
+//	slot, ok := al.Reserve(alloc.ReserveRequest{Attempt: a, Size: size, UntilMs: nowMs + 2000}, nowMs)
+//	token, ok := al.Begin(a)                        // before the start request is sent
+//	reports := al.ApplyInventory(worker, inventory) // after each lease renewal
 package alloc
 
 import (
@@ -105,38 +105,38 @@
 // SetWorkers updates the workers from the host list. The list may be wrong, so a
 // worker that is no longer listed is marked as draining and removed only when it
 // has no allocations.
-func (b *Allocations) SetWorkers(list []Worker) {
+func (al *Allocations) SetWorkers(list []Worker) {
 	listed := map[string]bool{}
 	for _, worker := range list {
 		listed[worker.ID] = true
-		w := b.workers[worker.ID]
+		w := al.workers[worker.ID]
 		if w == nil {
 			w = &workerState{allocations: map[Attempt]*allocation{}}
-			b.workers[worker.ID] = w
+			al.workers[worker.ID] = w
 		}
 		w.Worker = worker
 	}
-	for id, w := range b.workers {
+	for id, w := range al.workers {
 		if listed[id] {
 			continue
 		}
 		w.Draining = true
 		if len(w.allocations) == 0 {
-			delete(b.workers, id)
+			delete(al.workers, id)
 		}
 	}
-	b.workerIDs = b.workerIDs[:0]
-	for id := range b.workers {
-		b.workerIDs = append(b.workerIDs, id)
+	al.workerIDs = al.workerIDs[:0]
+	for id := range al.workers {
+		al.workerIDs = append(al.workerIDs, id)
 	}
-	sort.Strings(b.workerIDs)
+	sort.Strings(al.workerIDs)
 }
 
 // Free returns the total free capacity of the schedulable workers and, for each
 // dimension, the largest free capacity of a single one.
-func (b *Allocations) Free() (sum, largest jobs.Size) {
-	for _, id := range b.workerIDs {
-		if w := b.workers[id]; w.schedulable() {
+func (al *Allocations) Free() (sum, largest jobs.Size) {
+	for _, id := range al.workerIDs {
+		if w := al.workers[id]; w.schedulable() {
 			sum, largest = sum.Plus(w.free()), largest.Max(w.free())
 		}
 	}
@@ -144,9 +144,9 @@
 }
 
 // Capacity returns the total capacity of all workers that are not draining.
-func (b *Allocations) Capacity() jobs.Size {
+func (al *Allocations) Capacity() jobs.Size {
 	var sum jobs.Size
-	for _, w := range b.workers {
+	for _, w := range al.workers {
 		if !w.Draining {
 			sum = sum.Plus(w.Capacity)
 		}
@@ -155,12 +155,12 @@
 }
 
 // Workers returns the ids of all workers, sorted.
-func (b *Allocations) Workers() []string { return append([]string(nil), b.workerIDs...) }
+func (al *Allocations) Workers() []string { return append([]string(nil), al.workerIDs...) }
 
 // Ready reports whether the worker has reported an inventory and has not been
 // marked lost or not ready since.
-func (b *Allocations) Ready(worker string) bool {
-	w := b.workers[worker]
+func (al *Allocations) Ready(worker string) bool {
+	w := al.workers[worker]
 	return w != nil && w.ready
 }
 
@@ -175,8 +175,8 @@
 )
 
 // SetMode sets the mode of the worker.
-func (b *Allocations) SetMode(worker string, m Mode) {
-	if w := b.workers[worker]; w != nil {
+func (al *Allocations) SetMode(worker string, m Mode) {
+	if w := al.workers[worker]; w != nil {
 		w.mode = m
 	}
 }
@@ -202,19 +202,19 @@
 // worker. A repeated request for a reserved attempt extends the reservation and
 // returns the same worker. The result ok is false if Begin was called for the
 // attempt, if the attempt is denied, or if no worker fits.
-func (b *Allocations) Reserve(req ReserveRequest, nowMs int64) (slot Slot, ok bool) {
-	if w, a := b.find(req.Attempt); a != nil {
+func (al *Allocations) Reserve(req ReserveRequest, nowMs int64) (slot Slot, ok bool) {
+	if w, a := al.find(req.Attempt); a != nil {
 		a.untilMs = max(a.untilMs, req.UntilMs)
 		return Slot{Worker: w.ID, Boot: w.boot}, a.phase == reserved
 	}
-	if b.denied[req.Attempt] {
+	if al.denied[req.Attempt] {
 		return Slot{}, false
 	}
-	w := b.choose(req, nowMs)
+	w := al.choose(req, nowMs)
 	if w == nil {
 		return Slot{}, false
 	}
-	b.allocate(w, &allocation{
+	al.allocate(w, &allocation{
 		attempt: req.Attempt, home: req.Home, size: req.Size, kind: req.Kind,
 		phase: reserved, untilMs: req.UntilMs, boot: w.boot,
 	})
@@ -225,11 +225,11 @@
 // It spreads services: they get the worker with the most capacity left. All
 // other kinds are packed onto the worker with the least capacity left, which
 // avoids fragmentation.
-func (b *Allocations) choose(req ReserveRequest, nowMs int64) *workerState {
+func (al *Allocations) choose(req ReserveRequest, nowMs int64) *workerState {
 	var best *workerState
 	var bestScore float64
-	for _, id := range b.workerIDs {
-		w := b.workers[id]
+	for _, id := range al.workerIDs {
+		w := al.workers[id]
 		if !w.schedulable() || !w.modeAllows(req) || !req.Size.FitsIn(w.free()) ||
 			contains(req.Exclude, id) || w.heldForOther(req.Attempt, nowMs) {
 			continue
@@ -252,7 +252,7 @@
 // acceleratorPenalty is added to the score of a worker with accelerators if the
 // request needs none. Scores without it lie between 0 and 1, so it outweighs any
 // difference in free capacity. The score of a service is negated afterwards, so
-// services prefer workers with accelerators.
+// services that need no accelerators prefer workers with accelerators.
 const acceleratorPenalty = 1.0
 
 // modeAllows reports whether the worker's mode, ModeOpen or ModeProbe, permits the
@@ -283,25 +283,25 @@
 }
 
 // allocate adds a to the worker's allocations.
-func (b *Allocations) allocate(w *workerState, a *allocation) {
+func (al *Allocations) allocate(w *workerState, a *allocation) {
 	w.allocations[a.attempt] = a
 	w.used = w.used.Plus(a.size)
-	b.workerOf[a.attempt] = w.ID
+	al.workerOf[a.attempt] = w.ID
 }
 
 // remove deletes the allocation and frees its capacity.
-func (b *Allocations) remove(w *workerState, a *allocation) {
+func (al *Allocations) remove(w *workerState, a *allocation) {
 	if a.phase != ended {
 		w.used = w.used.Minus(a.size)
 	}
 	delete(w.allocations, a.attempt)
-	delete(b.workerOf, a.attempt)
+	delete(al.workerOf, a.attempt)
 }
 
 // finish frees the capacity of an attempt that has ended. The allocation keeps
-// the end until the home group has recorded it (see MarkEndRecorded) and the worker has
-// answered a renewal that lists the attempt.
-func (b *Allocations) finish(w *workerState, a *allocation, end Report) {
+// the end until the home group has recorded it (see MarkEndRecorded) and the
+// worker has answered a renewal that lists the attempt as recorded.
+func (al *Allocations) finish(w *workerState, a *allocation, end Report) {
 	if a.phase != ended {
 		w.used = w.used.Minus(a.size)
 	}
@@ -309,12 +309,12 @@
 }
 
 // find returns the worker and the allocation of an attempt, or nil, nil.
-func (b *Allocations) find(attempt Attempt) (*workerState, *allocation) {
-	id, ok := b.workerOf[attempt]
+func (al *Allocations) find(attempt Attempt) (*workerState, *allocation) {
+	id, ok := al.workerOf[attempt]
 	if !ok {
 		return nil, nil
 	}
-	w := b.workers[id]
+	w := al.workers[id]
 	return w, w.allocations[attempt]
 }
 
@@ -329,40 +329,41 @@
 // before the request is sent. It fails if the attempt has no reservation, for
 // example because ExpireReservations has removed it. It also fails if the worker is
 // no longer schedulable or has restarted; the attempt is then denied.
-func (b *Allocations) Begin(attempt Attempt) (o StartToken, ok bool) {
-	w, a := b.find(attempt)
+func (al *Allocations) Begin(attempt Attempt) (token StartToken, ok bool) {
+	w, a := al.find(attempt)
 	if a == nil || a.phase != reserved {
 		return StartToken{}, false
 	}
 	if !w.schedulable() || w.boot != a.boot {
-		b.remove(w, a)
-		b.deny(attempt)
+		al.remove(w, a)
+		al.deny(attempt)
 		return StartToken{}, false
 	}
-	a.phase, a.seq, a.inFlight = sending, b.nextSeq, true
-	b.nextSeq++
+	a.phase, a.seq, a.inFlight = sending, al.nextSeq, true
+	al.nextSeq++
 	return StartToken{Worker: w.ID, Seq: a.seq, Boot: a.boot}, true
 }
 
 // StartConfirmed records that the worker has confirmed the start.
-func (b *Allocations) StartConfirmed(attempt Attempt) {
-	if _, a := b.find(attempt); a != nil && a.phase == sending {
+func (al *Allocations) StartConfirmed(attempt Attempt) {
+	if _, a := al.find(attempt); a != nil && a.phase == sending {
 		a.phase, a.inFlight = running, false
 	}
 }
 
 // StartRefused records that the worker has refused the start. The attempt is denied.
-func (b *Allocations) StartRefused(attempt Attempt) {
-	if w, a := b.find(attempt); a != nil && a.phase == sending {
-		b.remove(w, a)
-		b.deny(attempt)
+func (al *Allocations) StartRefused(attempt Attempt) {
+	if w, a := al.find(attempt); a != nil && a.phase == sending {
+		al.remove(w, a)
+		al.deny(attempt)
 	}
 }
 
-// StartUnconfirmed records that the start request got no answer. Its capacity stays
-// allocated until an inventory with a higher MinSeq shows whether it started.
-func (b *Allocations) StartUnconfirmed(attempt Attempt) {
-	if _, a := b.find(attempt); a != nil && a.phase == sending {
+// StartUnconfirmed records that the start request got no answer. The attempt's
+// capacity stays allocated until an inventory reports the attempt, or omits it and
+// has a MinSeq above the request's sequence number.
+func (al *Allocations) StartUnconfirmed(attempt Attempt) {
+	if _, a := al.find(attempt); a != nil && a.phase == sending {
 		a.inFlight = false
 	}
 }
@@ -381,9 +382,9 @@
 }
 
 // Renewal returns the fields of the next lease renewal of the worker.
-func (b *Allocations) Renewal(worker string) Renewal {
-	r := Renewal{MinSeq: b.nextSeq}
-	w := b.workers[worker]
+func (al *Allocations) Renewal(worker string) Renewal {
+	r := Renewal{MinSeq: al.nextSeq}
+	w := al.workers[worker]
 	if w == nil {
 		return r
 	}
@@ -401,19 +402,19 @@
 }
 
 // Cancel removes the reservation of an attempt that will not be started.
-func (b *Allocations) Cancel(attempt Attempt) {
-	if w, a := b.find(attempt); a != nil && a.phase == reserved {
-		b.remove(w, a)
+func (al *Allocations) Cancel(attempt Attempt) {
+	if w, a := al.find(attempt); a != nil && a.phase == reserved {
+		al.remove(w, a)
 	}
 }
 
 // ExpireReservations removes the expired reservations and returns their number.
-func (b *Allocations) ExpireReservations(nowMs int64) int {
+func (al *Allocations) ExpireReservations(nowMs int64) int {
 	n := 0
-	for attempt, id := range b.workerOf {
-		w := b.workers[id]
+	for attempt, id := range al.workerOf {
+		w := al.workers[id]
 		if a := w.allocations[attempt]; a.phase == reserved && a.untilMs <= nowMs {
-			b.remove(w, a)
+			al.remove(w, a)
 			n++
 		}
 	}
@@ -426,14 +427,14 @@
 const maxDenied = 65536
 
 // deny marks the attempt as one that must never start.
-func (b *Allocations) deny(attempt Attempt) {
-	if b.denied[attempt] {
+func (al *Allocations) deny(attempt Attempt) {
+	if al.denied[attempt] {
 		return
 	}
-	b.denied[attempt] = true
-	b.deniedOrder = append(b.deniedOrder, attempt)
-	if len(b.deniedOrder) > maxDenied {
-		delete(b.denied, b.deniedOrder[0])
-		b.deniedOrder = b.deniedOrder[1:]
+	al.denied[attempt] = true
+	al.deniedOrder = append(al.deniedOrder, attempt)
+	if len(al.deniedOrder) > maxDenied {
+		delete(al.denied, al.deniedOrder[0])
+		al.deniedOrder = al.deniedOrder[1:]
 	}
 }
--- a/internal/cell/alloc/alloc_test.go
+++ b/internal/cell/alloc/alloc_test.go
@@ -152,12 +152,12 @@
 		return
 	}
 	attempt := sim.attemptOf(i, sim.tasks[i].Attempt)
-	o, ok := owner.allocations.Begin(attempt)
+	token, ok := owner.allocations.Begin(attempt)
 	if !ok {
 		return
 	}
-	sim.net = append(sim.net, startRequest{attempt: attempt, epoch: owner.epoch, seq: o.Seq, boot: o.Boot, size: sim.sizes[i]})
-	sim.dest = append(sim.dest, o.Worker)
+	sim.net = append(sim.net, startRequest{attempt: attempt, epoch: owner.epoch, seq: token.Seq, boot: token.Boot, size: sim.sizes[i]})
+	sim.dest = append(sim.dest, token.Worker)
 }
 
 // deliver delivers message n to its worker. The answer is lost unless answered is
@@ -333,34 +333,34 @@
 // dominant share, and that only the urgent attempt can use the capacity that they
 // free.
 func TestSelectVictims(t *testing.T) {
-	b := New()
-	b.SetWorkers([]Worker{{ID: "w0", Capacity: jobs.Size{CPU: 8}}, {ID: "w1", Capacity: jobs.Size{CPU: 8}}})
+	al := New()
+	al.SetWorkers([]Worker{{ID: "w0", Capacity: jobs.Size{CPU: 8}}, {ID: "w1", Capacity: jobs.Size{CPU: 8}}})
 	running := func(worker string, sizes ...int64) {
 		var seen []ReportedAttempt
 		for i, size := range sizes {
 			seen = append(seen, ReportedAttempt{Attempt: Attempt{Task: fmt.Sprint(worker, i), Number: 1}, Kind: jobs.Batch, Size: jobs.Size{CPU: size}})
 		}
-		b.ApplyInventory(worker, Inventory{Attempts: seen})
+		al.ApplyInventory(worker, Inventory{Attempts: seen})
 	}
 	running("w0", 4, 4)
 	running("w1", 2, 2, 2, 2)
 	urgent := ReserveRequest{Attempt: Attempt{Task: "u", Number: 1}, Kind: jobs.Urgent, Size: jobs.Size{CPU: 2}}
-	_, ok := b.Reserve(urgent, 0)
+	_, ok := al.Reserve(urgent, 0)
 	assert.Assert(t, !ok)
-	victims := b.SelectVictims(urgent, 0, 100)
+	victims := al.SelectVictims(urgent, 0, 100)
 	assert.Equal(t, len(victims), 1)
 	assert.Equal(t, victims[0].Task, "w10")
-	assert.Equal(t, len(b.SelectVictims(urgent, 1, 100)), 0)
-	b.ApplyInventory("w1", Inventory{Renewal: Renewal{MinSeq: 1}, Attempts: []ReportedAttempt{
+	assert.Equal(t, len(al.SelectVictims(urgent, 1, 100)), 0)
+	al.ApplyInventory("w1", Inventory{Renewal: Renewal{MinSeq: 1}, Attempts: []ReportedAttempt{
 		{Attempt: victims[0], Reason: jobs.EndCheckpointed},
 		{Attempt: Attempt{Task: "w11", Number: 1}, Kind: jobs.Batch, Size: jobs.Size{CPU: 2}},
 		{Attempt: Attempt{Task: "w12", Number: 1}, Kind: jobs.Batch, Size: jobs.Size{CPU: 2}},
 		{Attempt: Attempt{Task: "w13", Number: 1}, Kind: jobs.Batch, Size: jobs.Size{CPU: 2}},
 	}})
 	other := ReserveRequest{Attempt: Attempt{Task: "o", Number: 1}, Kind: jobs.Batch, Size: jobs.Size{CPU: 1}}
-	_, ok = b.Reserve(other, 2)
+	_, ok = al.Reserve(other, 2)
 	assert.Assert(t, !ok, "the capacity is held for the urgent attempt")
-	slot, ok := b.Reserve(urgent, 2)
+	slot, ok := al.Reserve(urgent, 2)
 	assert.Assert(t, ok)
 	assert.Equal(t, slot.Worker, "w1")
 }
--- a/internal/cell/alloc/inventory.go
+++ b/internal/cell/alloc/inventory.go
@@ -32,28 +32,28 @@
 
 // ApplyInventory reconciles the worker's allocations with its inventory. It returns
 // the ends that were not known before.
-func (b *Allocations) ApplyInventory(worker string, inv Inventory) []Report {
-	w := b.workers[worker]
+func (al *Allocations) ApplyInventory(worker string, inv Inventory) []Report {
+	w := al.workers[worker]
 	if w == nil {
 		return nil
 	}
 	w.boot = inv.Boot
 	for _, attempt := range inv.Recorded {
 		if a := w.allocations[attempt]; a != nil && a.recorded {
-			b.remove(w, a)
+			al.remove(w, a)
 		}
 	}
 	var reports []Report
 	reported := make(map[Attempt]bool, len(inv.Attempts))
 	for _, s := range inv.Attempts {
 		reported[s.Attempt] = true
-		if r, ok := b.reconcileReported(w, s); ok {
+		if r, ok := al.reconcileReported(w, s); ok {
 			reports = append(reports, r)
 		}
 	}
 	for attempt, a := range w.allocations {
 		if !reported[attempt] {
-			if r, ok := b.reconcileMissing(w, a, inv.MinSeq); ok {
+			if r, ok := al.reconcileMissing(w, a, inv.MinSeq); ok {
 				reports = append(reports, r)
 			}
 		}
@@ -64,11 +64,11 @@
 
 // reconcileReported updates the allocation of an attempt that the worker
 // reports. It returns true if the attempt's end was not known before.
-func (b *Allocations) reconcileReported(w *workerState, s ReportedAttempt) (Report, bool) {
+func (al *Allocations) reconcileReported(w *workerState, s ReportedAttempt) (Report, bool) {
 	a := w.allocations[s.Attempt]
 	if a == nil {
 		a = &allocation{attempt: s.Attempt, home: s.Home, size: s.Size, kind: s.Kind}
-		b.allocate(w, a)
+		al.allocate(w, a)
 	}
 	if s.Reason == "" {
 		if a.phase != ended {
@@ -82,13 +82,13 @@
 	end := Report{
 		Attempt: s.Attempt, Home: a.home, Worker: w.ID, Reason: s.Reason, Result: s.Result, Checkpoint: s.Checkpoint,
 	}
-	b.finish(w, a, end)
+	al.finish(w, a, end)
 	return end, true
 }
 
 // reconcileMissing updates an allocation that the worker does not report. It
 // returns true if this shows that the attempt has ended.
-func (b *Allocations) reconcileMissing(w *workerState, a *allocation, minSeq uint64) (Report, bool) {
+func (al *Allocations) reconcileMissing(w *workerState, a *allocation, minSeq uint64) (Report, bool) {
 	reason := jobs.EndLost
 	switch a.phase {
 	case reserved, ended:
@@ -110,15 +110,15 @@
 		}
 	}
 	end := Report{Attempt: a.attempt, Home: a.home, Worker: w.ID, Reason: reason}
-	b.finish(w, a, end)
-	b.deny(a.attempt)
+	al.finish(w, a, end)
+	al.deny(a.attempt)
 	return end, true
 }
 
 // MarkWorkerLost ends every attempt on a worker whose lease is certain to have
 // expired. The worker is not schedulable until its next inventory.
-func (b *Allocations) MarkWorkerLost(worker string) []Report {
-	w := b.workers[worker]
+func (al *Allocations) MarkWorkerLost(worker string) []Report {
+	w := al.workers[worker]
 	if w == nil {
 		return nil
 	}
@@ -127,12 +127,12 @@
 	for attempt, a := range w.allocations {
 		switch a.phase {
 		case reserved:
-			b.remove(w, a)
-			b.deny(attempt)
+			al.remove(w, a)
+			al.deny(attempt)
 		case sending, running:
 			end := Report{Attempt: attempt, Home: a.home, Worker: worker, Reason: jobs.EndLost}
-			b.finish(w, a, end)
-			b.deny(attempt)
+			al.finish(w, a, end)
+			al.deny(attempt)
 			reports = append(reports, end)
 		}
 	}
@@ -141,16 +141,17 @@
 
 // MarkNotReady makes a worker unschedulable until its next inventory, without ending
 // its attempts.
-func (b *Allocations) MarkNotReady(worker string) {
-	if w := b.workers[worker]; w != nil {
+func (al *Allocations) MarkNotReady(worker string) {
+	if w := al.workers[worker]; w != nil {
 		w.ready = false
 	}
 }
 
-// MarkEndRecorded records that the attempt's home group has recorded its end. The
-// attempt is removed after a renewal has listed it to the worker.
-func (b *Allocations) MarkEndRecorded(attempt Attempt) {
-	if _, a := b.find(attempt); a != nil && a.phase == ended {
+// MarkEndRecorded records that the attempt's home group has recorded its end. Its
+// allocation is removed when the worker has answered a renewal that lists the
+// attempt in Recorded.
+func (al *Allocations) MarkEndRecorded(attempt Attempt) {
+	if _, a := al.find(attempt); a != nil && a.phase == ended {
 		a.recorded = true
 	}
 }
@@ -179,8 +180,8 @@
 // The argument leasesExpired states that every lease granted by previous owners is
 // certain to have expired. A worker that is not in the host list then runs no
 // attempt of the group.
-func (b *Allocations) AttemptStatus(q Query, leasesExpired bool) (AttemptStatus, Report) {
-	if w, a := b.find(q.Attempt); a != nil {
+func (al *Allocations) AttemptStatus(q Query, leasesExpired bool) (AttemptStatus, Report) {
+	if w, a := al.find(q.Attempt); a != nil {
 		switch a.phase {
 		case ended:
 			return StatusEnded, a.end
@@ -189,19 +190,19 @@
 		case sending:
 			return StatusUnknown, Report{}
 		}
-		b.remove(w, a)
-		b.deny(q.Attempt)
+		al.remove(w, a)
+		al.deny(q.Attempt)
 		return StatusAbsent, Report{}
 	}
-	w := b.workers[q.Worker]
+	w := al.workers[q.Worker]
 	switch {
 	case w != nil && w.ready && w.boot == q.Boot:
-		b.deny(q.Attempt)
+		al.deny(q.Attempt)
 		return StatusAbsent, Report{}
 	case w != nil && (w.ready || w.lost), w == nil && leasesExpired:
 		// The worker has restarted, its lease has expired, or it is not listed and
 		// all leases have expired.
-		b.deny(q.Attempt)
+		al.deny(q.Attempt)
 		return StatusEnded, Report{Attempt: q.Attempt, Worker: q.Worker, Reason: jobs.EndLost}
 	}
 	return StatusUnknown, Report{}
@@ -209,10 +210,10 @@
 
 // Reports returns the ends that the home groups have not recorded yet, by home
 // group.
-func (b *Allocations) Reports() map[string][]Report {
+func (al *Allocations) Reports() map[string][]Report {
 	byHome := map[string][]Report{}
-	for _, id := range b.workerIDs {
-		for _, a := range b.workers[id].allocations {
+	for _, id := range al.workerIDs {
+		for _, a := range al.workers[id].allocations {
 			if a.phase == ended && !a.recorded {
 				byHome[a.home] = append(byHome[a.home], a.end)
 			}
@@ -231,8 +232,8 @@
 }
 
 // Running returns the attempts that are confirmed to run on the worker.
-func (b *Allocations) Running(worker string) []RunningAttempt {
-	w := b.workers[worker]
+func (al *Allocations) Running(worker string) []RunningAttempt {
+	w := al.workers[worker]
 	if w == nil {
 		return nil
 	}
@@ -246,7 +247,7 @@
 }
 
 // WorkerOf returns the worker to which the attempt is allocated.
-func (b *Allocations) WorkerOf(attempt Attempt) (string, bool) {
-	id, ok := b.workerOf[attempt]
+func (al *Allocations) WorkerOf(attempt Attempt) (string, bool) {
+	id, ok := al.workerOf[attempt]
 	return id, ok
 }
--- a/internal/cell/alloc/preempt.go
+++ b/internal/cell/alloc/preempt.go
@@ -15,12 +15,12 @@
 // capacity. On a worker the attempts that started last are stopped first because
 // they lose the least progress. Attempts known only from an inventory, such as
 // those placed before a takeover, have no sequence number and are stopped last.
-func (b *Allocations) SelectVictims(req ReserveRequest, nowMs, untilMs int64) []Attempt {
+func (al *Allocations) SelectVictims(req ReserveRequest, nowMs, untilMs int64) []Attempt {
 	var best *workerState
 	var bestVictims []*allocation
 	var bestSize jobs.Size
-	for _, id := range b.workerIDs {
-		w := b.workers[id]
+	for _, id := range al.workerIDs {
+		w := al.workers[id]
 		if nowMs < w.heldUntilMs && w.heldFor == req.Attempt {
 			return nil
 		}
