--- a/internal/cell/config/config.go
+++ b/internal/cell/config/config.go
@@ -1,7 +1,7 @@
 // Package config implements the configuration of a cell, the set of groups that
-// share one log. It consists of the teams' customer plans and allow lists, the API
-// keys, the availability zones that are out of service, and the division of each
-// team's limit among the groups.
+// share one log. It consists of the teams' plans and allow lists, the API keys,
+// the availability zones that are out of service, and the division of each team's
+// limit among the groups.
 //
 // The configuration is a replicated state machine over the records of the log
 // stream "cell". Every entry host applies the same records in the same order and
@@ -14,9 +14,8 @@
 // offset is accepted and the others are rejected when they are applied. An edit
 // with a known id is ignored.
 //
-// An alternative is that the entry host that receives an edit decides whether it
-// is accepted. It was rejected because it needs a lock that outlives the host, or a
-// consensus group.
+// The entry host that receives an edit does not decide whether it is accepted:
+// that would need a lock that outlives the host, or a consensus group.
 //
 // # Usage
 //
@@ -50,7 +49,7 @@
 // plus 1, or 0 if it has never been edited.
 type Version int64
 
-// Plan is a team's customer plan.
+// Plan holds the share and the limit of a team.
 type Plan struct {
 	Team    string    `json:"team"`
 	Share   int64     `json:"share"` // weight in fair sharing
@@ -146,7 +145,7 @@
 }
 
 // FencingToken is the fencing token of a group's grant records. A record is ignored
-// unless its fence is higher than that of every earlier record of the group.
+// unless its token is higher than that of every earlier record of the group.
 type FencingToken struct {
 	Epoch uint64 // compared first
 	Seq   uint64
--- a/internal/cell/config/config_test.go
+++ b/internal/cell/config/config_test.go
@@ -15,19 +15,19 @@
 // referenceModel is a simple implementation of the configuration. It is rebuilt
 // from all records and shares no maps between states.
 type referenceModel struct {
-	version map[string]Version // object -> version
-	value   map[string]string  // object -> content as text
-	results map[string]EditResult
-	authors map[string]string
-	limit   map[string]int64            // team -> CPU limit
-	grants  map[string]map[string]int64 // team -> group -> CPU grant
-	fences  map[string]FencingToken
+	version       map[string]Version // object -> version
+	value         map[string]string  // object -> content as text
+	results       map[string]EditResult
+	authors       map[string]string
+	limit         map[string]int64            // team -> CPU limit
+	grants        map[string]map[string]int64 // team -> group -> CPU grant
+	fencingTokens map[string]FencingToken
 }
 
 func rebuild(records []Record) referenceModel {
 	n := referenceModel{
 		version: map[string]Version{}, value: map[string]string{}, results: map[string]EditResult{}, authors: map[string]string{},
-		limit: map[string]int64{}, grants: map[string]map[string]int64{}, fences: map[string]FencingToken{},
+		limit: map[string]int64{}, grants: map[string]map[string]int64{}, fencingTokens: map[string]FencingToken{},
 	}
 	for i, r := range records {
 		if r.Edit != nil {
@@ -59,18 +59,18 @@
 	case TakeAzOut, ReturnAz:
 		n.value[o] = fmt.Sprint(e.Operation == TakeAzOut)
 	case IssueKey:
-		n.value[o] = "given " + e.Team
+		n.value[o] = "issued " + e.Team
 	case RevokeKey:
-		n.value[o] = "withdrawn"
+		n.value[o] = "revoked"
 	}
 }
 
 func (n referenceModel) grant(g Grants) {
-	f := n.fences[g.Group]
+	f := n.fencingTokens[g.Group]
 	if g.FencingToken.Epoch < f.Epoch || g.FencingToken.Epoch == f.Epoch && g.FencingToken.Seq <= f.Seq {
 		return
 	}
-	n.fences[g.Group] = g.FencingToken
+	n.fencingTokens[g.Group] = g.FencingToken
 	for _, item := range g.Items {
 		sum := item.Amount.CPU
 		for group, amount := range n.grants[item.Team] {
@@ -107,9 +107,9 @@
 			return ""
 		}
 		if k.Revoked {
-			return "withdrawn"
+			return "revoked"
 		}
-		return "given " + k.Team
+		return "issued " + k.Team
 	}
 	a, ok := s.Azs[name]
 	if !ok {
@@ -121,7 +121,7 @@
 var names = []string{"a", "b"}
 
 // drawRecord draws an edit, which may conflict with earlier ones or reuse an id,
-// or a grant record, which may have a stale fence.
+// or a grant record, which may have a stale fencing token.
 func drawRecord(t *rapid.T, versions []Version) Record {
 	name := rapid.SampledFrom(names).Draw(t, "name")
 	if rapid.Bool().Draw(t, "grant") {
@@ -143,7 +143,8 @@
 }
 
 // TestAgainstReferenceModel compares the state with the reference model after every
-// record. It checks that the sum of a team's ceilings never exceeds its limit.
+// record. It checks that the sum of a team's effective limits never exceeds its
+// limit.
 func TestAgainstReferenceModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := NewStateMachine()
@@ -180,14 +181,14 @@
 			assert.Equal(t, s.VersionOf(o), n.version[o], o)
 			assert.Equal(t, valueOf(s, kind, name), n.value[o], o)
 		}
-		var granted, ceilings int64
+		var granted, effective int64
 		for _, group := range []string{"g", "h", "i"} {
 			assert.Equal(t, s.Grants[name][group].CPU, n.grants[name][group], "grant of %s to %s", name, group)
 			granted += s.Grants[name][group].CPU
-			ceilings += s.EffectiveLimit(name, group).CPU
+			effective += s.EffectiveLimit(name, group).CPU
 		}
 		assert.Equal(t, s.Granted(name).CPU, granted)
-		assert.Assert(t, ceilings <= s.Limit(name).CPU, "ceilings of %s sum up to %d, limit %d", name, ceilings, s.Limit(name).CPU)
+		assert.Assert(t, effective <= s.Limit(name).CPU, "effective limits of %s sum up to %d, limit %d", name, effective, s.Limit(name).CPU)
 	}
 	assert.Assert(t, maps.Equal(s.Results, n.results), "results %v, want %v", s.Results, n.results)
 }
--- a/internal/cell/config/edit.go
+++ b/internal/cell/config/edit.go
@@ -12,7 +12,7 @@
 // Operation is the operation of an edit.
 type Operation string
 
-// Values of Kind.
+// Values of Operation.
 const (
 	SetPlan     Operation = "setPlan"
 	DeletePlan  Operation = "deletePlan"
--- a/internal/cell/config/grant.go
+++ b/internal/cell/config/grant.go
@@ -10,15 +10,14 @@
 // one group.
 //
 // A grant belongs to a group, not to a process: after a takeover the new owner
-// has the grant together with the group's record of the work that runs under it.
-// Three rules keep the sum of all groups' limits (see EffectiveLimit) within the team's
-// limit:
+// has both the grant and the record of the work that uses it. Three rules keep
+// the sum of all groups' limits (see EffectiveLimit) within the team's limit:
 //
 //   - An increase is ignored if the sum of the grants would exceed the limit.
 //   - An owner stops using capacity before it appends a record that returns it.
-//   - A record is ignored unless its fence is higher than the group's highest
-//     one. After a takeover the new owner first appends a record with a higher
-//     fence, so that late appends of the previous owner have no effect.
+//   - A record is ignored unless its fencing token is higher than the group's
+//     highest one. After a takeover the new owner first appends a record with a
+//     higher token, so that late appends of the previous owner have no effect.
 //
 // If a limit is lowered below the sum of the grants, EffectiveLimit at once returns
 // proportionally less for every group, without new grant records.
