--- a/internal/cell/group/call.go
+++ b/internal/cell/group/call.go
@@ -23,8 +23,8 @@
 const MaxAnswerBytes = 4 << 10
 
 // WithOutcome returns the call with its outcome and answer.
-func (c Call) WithOutcome(ran fault.Outcome, status int, answer []byte) Call {
-	c.Outcome, c.Status, c.Answer = ran, status, answer
+func (c Call) WithOutcome(outcome fault.Outcome, status int, answer []byte) Call {
+	c.Outcome, c.Status, c.Answer = outcome, status, answer
 	if len(answer) > MaxAnswerBytes {
 		c.Answer, c.Dropped = nil, true
 	}
--- a/internal/cell/group/group.go
+++ b/internal/cell/group/group.go
@@ -17,7 +17,7 @@
 // # Usage
 //
 //	s := group.NewState("az1-0")
-//	s.Observer = queue // notified of every task change
+//	s.Observer = observer // notified of every task change
 //	s.Apply(offset, data)
 //	batch := group.Batch{Epoch: s.Epoch, Seq: s.Seq + 1, Records: records}
 package group
@@ -91,8 +91,8 @@
 	BeforeMs int64
 }
 
-// RequestKey returns the key in the maps of State of the submission or call with the
-// given idempotency key.
+// RequestKey returns the key of a submission in State.Submissions, or of a call in
+// State.Calls. The id is its idempotency key.
 func RequestKey(team, id string) string { return team + "\x00" + id }
 
 // Observer is notified of every task change while the state applies it.
@@ -287,15 +287,15 @@
 	}
 }
 
-func (s *State) applyPurge(f Purge) {
+func (s *State) applyPurge(p Purge) {
 	for id, j := range s.Jobs {
-		if j.EndMs > 0 && j.EndMs < f.BeforeMs && j.Ended() {
+		if j.EndMs > 0 && j.EndMs < p.BeforeMs && j.Ended() {
 			delete(s.Jobs, id)
 			delete(s.Submissions, RequestKey(j.Spec.Team, j.Spec.Submission))
 		}
 	}
 	for key, c := range s.Calls {
-		if c.AtMs < f.BeforeMs {
+		if c.AtMs < p.BeforeMs {
 			delete(s.Calls, key)
 		}
 	}
--- a/internal/cell/jobs/jobs.go
+++ b/internal/cell/jobs/jobs.go
@@ -104,7 +104,7 @@
 // Spec is a submitted job specification. It does not change after the job has
 // been accepted.
 type Spec struct {
-	Name       string `json:"name"`                 // name of a family of similar jobs
+	Name       string `json:"name"`                 // job name; sent to the platform as the family of its tasks
 	Kind       Kind   `json:"kind"`                 // Batch if empty
 	Team       string `json:"team,omitempty"`       // set from the API key
 	Queue      string `json:"queue,omitempty"`      // "default" if empty
--- a/internal/cell/jobs/task.go
+++ b/internal/cell/jobs/task.go
@@ -17,7 +17,7 @@
 // Final reports whether s is a final state.
 func (s State) Final() bool { return s == Done || s == Failed || s == Cancelled }
 
-// EndReason tells how an attempt ended.
+// EndReason describes how an attempt ended.
 type EndReason string
 
 // Values of EndReason.
@@ -49,12 +49,12 @@
 	Worker     string `json:"worker,omitempty"`
 	Boot       int64  `json:"boot,omitempty"` // the worker's boot id at the time of its selection
 	StartMs    int64  `json:"startMs,omitempty"`
-	EndMs      int64  `json:"endMs,omitempty"` // end of the latest attempt, or a later cancellation or decision
+	EndMs      int64  `json:"endMs,omitempty"` // time of the latest attempt's end, or of a later cancellation or operator decision
 	Failures   int    `json:"failures,omitempty"`
 	Result     string `json:"result,omitempty"`
 	Checkpoint string `json:"checkpoint,omitempty"`
 	Cancelling bool   `json:"cancelling,omitempty"`
-	Reason     string `json:"reason,omitempty"` // why the task was parked or failed, or what ended its parking
+	Reason     string `json:"reason,omitempty"` // why the task was parked or failed, or how it left the state Parked
 }
 
 // Placement identifies the worker selected for an attempt.
