--- a/internal/cell/queue/policy.go
+++ b/internal/cell/queue/policy.go
@@ -62,7 +62,7 @@
 	return c.Used.DominantShare(v.Fleet) / float64(weight)
 }
 
-// older reports whether a was added before b. Ties are broken by the ref.
+// older reports whether a has waited longer than b. Ties are broken by the ref.
 func older(a, b Item) bool {
 	if a.WaitingSinceMs != b.WaitingSinceMs {
 		return a.WaitingSinceMs < b.WaitingSinceMs
--- a/internal/cell/queue/queue.go
+++ b/internal/cell/queue/queue.go
@@ -209,7 +209,7 @@
 	q           *Queue
 	view        *FleetView
 	used        map[string]jobs.Size // team -> size placed by this pass, in addition to view.Used
-	shapeQueues []*shapeQueue        // shapes that are not blocked or empty
+	shapeQueues []*shapeQueue        // of the shapes that are neither blocked nor empty
 }
 
 // Pass starts a pass over the queue.
--- a/internal/cell/queue/queue_test.go
+++ b/internal/cell/queue/queue_test.go
@@ -95,9 +95,9 @@
 	low, high := 0.0, 1e6
 	fill := func(level float64) (map[string]float64, float64) {
 		shares, sum := map[string]float64{}, 0.0
-		for _, c := range demands {
-			s := min(c.Demand, level*float64(max(c.Weight, 1)))
-			shares[c.Team] = s
+		for _, d := range demands {
+			s := min(d.Demand, level*float64(max(d.Weight, 1)))
+			shares[d.Team] = s
 			sum += s
 		}
 		return shares, sum
@@ -121,7 +121,7 @@
 		for i := range rapid.IntRange(1, 6).Draw(t, "teams") {
 			demands = append(demands, TeamDemand{
 				Team: fmt.Sprint(i), Weight: rapid.Int64Range(0, 5).Draw(t, "weight"),
-				Demand: float64(rapid.IntRange(0, 200).Draw(t, "wants")) / 100,
+				Demand: float64(rapid.IntRange(0, 200).Draw(t, "demand")) / 100,
 			})
 		}
 		want := referenceShares(demands)
--- a/internal/cell/queue/share.go
+++ b/internal/cell/queue/share.go
@@ -14,7 +14,7 @@
 }
 
 // FairShares returns the weighted max-min fair share of each team as a fraction
-// of the fleet. A team gets at most what it wants; the rest is divided among the
+// of the fleet. A team gets at most its demand; the rest is divided among the
 // other teams by weight.
 //
 // The dominant resources of the teams may differ, so their dominant shares can
@@ -27,24 +27,24 @@
 		return a < b || a == b && order[i].Team < order[j].Team
 	})
 	var weightLeft int64
-	for _, c := range order {
-		weightLeft += max(c.Weight, 1)
+	for _, d := range order {
+		weightLeft += max(d.Weight, 1)
 	}
 	shares := make(map[string]float64, len(order))
 	left := 1.0
-	for _, c := range order {
-		w := max(c.Weight, 1)
-		share := min(c.Demand, left*float64(w)/float64(weightLeft))
-		shares[c.Team] = share
+	for _, d := range order {
+		w := max(d.Weight, 1)
+		share := min(d.Demand, left*float64(w)/float64(weightLeft))
+		shares[d.Team] = share
 		left -= share
 		weightLeft -= w
 	}
 	return shares
 }
 
-// perWeight returns the wanted share divided by the weight. FairShares serves the
-// team with the lowest value first.
-func (c TeamDemand) perWeight() float64 { return c.Demand / float64(max(c.Weight, 1)) }
+// perWeight returns the demand divided by the weight. FairShares serves the team
+// with the lowest value first.
+func (d TeamDemand) perWeight() float64 { return d.Demand / float64(max(d.Weight, 1)) }
 
 // Shares returns the fair share of every team with running or waiting work. The map
 // waiting contains the total size of each team's waiting work.
--- a/internal/cell/trust/trust.go
+++ b/internal/cell/trust/trust.go
@@ -73,8 +73,8 @@
 // workerRecord is the evidence and the quarantine of one worker.
 type workerRecord struct {
 	failed       map[string]bool // jobs that failed on the worker since its last success
-	quarantineMs int64           // length of the current quarantine; 0 if trusted
-	untilMs      int64           // end of the current quarantine
+	quarantineMs int64           // length of the latest quarantine; 0 if trusted
+	untilMs      int64           // end of the latest quarantine
 }
 
 // New returns a Tracker in which every worker is trusted.
@@ -91,8 +91,8 @@
 	return &Tracker{cfg: cfg, workers: map[string]*workerRecord{}}
 }
 
-// Record records one end and reports whether it started or ended a quarantine of
-// its worker.
+// Record records one end and reports whether it started a quarantine of its
+// worker or made the worker trusted again.
 func (t *Tracker) Record(e End) bool {
 	t.addRecent(e)
 	r := t.workers[e.Worker]
