--- a/internal/cell/sched/planner.go
+++ b/internal/cell/sched/planner.go
@@ -12,7 +12,7 @@
 //   - Capacity is allocated before the intent is stored. It is released only
 //     when the run has ended or can no longer exist: the start was not sent, or
 //     the worker lists the end, refuses the start, restarts, loses its lease, or
-//     omits the run from a list requested after a confirmed stop or a takeover.
+//     omits the run from a report requested after a confirmed stop or a takeover.
 //   - A task gets a new run only after its previous run has ended or can no
 //     longer exist.
 //
@@ -20,6 +20,9 @@
 // a takeover, the records would not name all runs, so the new owner could start
 // no waiting task until every worker has listed its runs or lost its lease.
 //
+// In queues with Queue.Advice set, each start needs a ticket. The advice service
+// decides which workers may run a step, and issues tickets for these workers.
+//
 // # Usage
 //
 //	p := sched.NewPlanner(sched.Config{State: state, LeaseMs: 8000}, now)
@@ -62,11 +65,11 @@
 
 // Config holds the parameters of a Planner.
 type Config struct {
-	State            *State
-	PrevOwnerRenewMs int64 // how long after a claim the previous owner may still renew leases
-	LeaseMs          int64 // duration of the lease that a renewal requests
-	MaxLeaseMs       int64 // longest lease that a worker grants
-	RetentionMs      int64 // how long an ended job is retained
+	State            *State // result of the stored records; the planner updates it
+	PrevOwnerRenewMs int64  // how long after a claim the previous owner may still renew leases
+	LeaseMs          int64  // duration of the lease that a renewal requests
+	MaxLeaseMs       int64  // longest lease that a worker grants
+	RetentionMs      int64  // how long an ended job is retained
 }
 
 // Margins added to the duration of a lease.
@@ -89,7 +92,7 @@
 	failedTries   int   // failed tries since the last start or advice
 	failedRun     int   // number of the latest gang run that was counted as a failure
 	queue         *Queue
-	policyVersion int // configuration version from which the field queue was read
+	policyVersion int // version of the policy from which the field queue was read
 }
 
 func (si *stepInstance) spec() Step    { return si.job.Spec.Steps[si.step] }
@@ -113,7 +116,7 @@
 	state          *State
 	policy         Policy
 	queues         map[string]*Queue
-	policyVersion  int // number of configurations set so far
+	policyVersion  int // number of policies set so far
 	workers        map[string]*Worker
 	used           map[string]jobs.Size // total allocated size, by team
 	steps          map[stepKey]*stepInstance
@@ -374,7 +377,7 @@
 	return s
 }
 
-// SetPolicy replaces the configuration.
+// SetPolicy replaces the policy.
 func (p *Planner) SetPolicy(v Policy) {
 	p.policy = v
 	p.policyVersion++
@@ -384,10 +387,10 @@
 	}
 }
 
-// missingQueue replaces a queue that is no longer configured.
+// missingQueue replaces a queue that the policy no longer contains.
 var missingQueue = &Queue{}
 
-// queue returns the queue of a step instance, cached for each configuration.
+// queue returns the queue of a step instance, cached until the policy changes.
 func (p *Planner) queue(si *stepInstance) *Queue {
 	if si.queue == nil || si.policyVersion != p.policyVersion {
 		si.queue, si.policyVersion = p.queues[si.job.Spec.Queue], p.policyVersion
--- a/internal/cell/sched/types.go
+++ b/internal/cell/sched/types.go
@@ -34,7 +34,7 @@
 	Payload     string
 	Steps       []Step
 	FirstMs     int64 // due time of occurrence 0, in ms since 1970
-	IntervalMs  int64
+	IntervalMs  int64 // between the due times of two occurrences
 	Occurrences int   // number of occurrences; 0 for a job that runs once, immediately
 	AcceptedMs  int64 // time of acceptance, in ms since 1970
 	Excess      bool  // submitted in excess of the team's rate
@@ -98,8 +98,8 @@
 	Public      bool        // no access key is required
 	Priority    int         // 0 is the highest
 	MaxAttempts int         // failed runs of one task after which its job fails
-	Slack       float64     // multiplies the run time of a job's critical path to get its deadline
-	TargetMs    int64       // added to the deadline of a job
+	Slack       float64     // deadline = due time + Slack * run time of the critical path + TargetMs
+	TargetMs    int64       // target latency; see Slack
 	TimeoutMs   int64       // not used by the planner
 	Advice      *AdviceCost // nil if starts need no ticket
 }
@@ -124,7 +124,7 @@
 	Rack        string
 	Labels      []string
 	Capacity    jobs.Size
-	Incarnation int64 // incarnation: time of its start
+	Incarnation int64 // start time of the worker, in ms since 1970; identifies its incarnation
 	Draining    bool
 }
 
