--- a/internal/cell/sched/load_test.go
+++ b/internal/cell/sched/load_test.go
@@ -190,14 +190,14 @@
 			for range b.N {
 				now.Ms, now.WallMs = now.Ms+5, now.WallMs+5
 				plan := p.Plan(allHosts{}, now)
-				for _, w := range plan.Requests {
+				for _, req := range plan.Requests {
 					tickets := map[string]string{}
-					for i, id := range w.Workers {
+					for i, id := range req.Workers {
 						if i%3 == 0 {
 							tickets[id] = "t"
 						}
 					}
-					p.ApplyAdvice(w, tickets, true, now.Ms, now)
+					p.ApplyAdvice(req, tickets, true, now.Ms, now)
 				}
 				for _, s := range p.ReleaseStarts(plan.Starts, now) {
 					p.ApplyStartOutcome(s, StartConfirmed, now)
--- a/internal/cell/sched/report.go
+++ b/internal/cell/sched/report.go
@@ -53,9 +53,9 @@
 		return
 	case StartNoTicket:
 		if si := p.steps[s.stepKey]; si != nil {
-			g := si.advice.answers[s.Worker]
-			g.untilMs = 0
-			si.advice.answers[s.Worker] = g
+			answer := si.advice.answers[s.Worker]
+			answer.untilMs = 0
+			si.advice.answers[s.Worker] = answer
 		}
 	case StartNoCapacity:
 		w.backoffUntilMs = now.Ms + capacityBackoffMs
@@ -82,7 +82,7 @@
 }
 
 // StopConfirmed is called when a worker has accepted a stop, or has refused it
-// because the run is absent. A list requested after now shows whether the run
+// because the run is absent. A report requested after now shows whether the run
 // still exists.
 func (p *Planner) StopConfirmed(s Stop, now Instant) {
 	w := p.workers[s.Worker]
@@ -225,24 +225,24 @@
 
 // ApplyReport applies the ends that a worker lists, and compares its active runs with
 // the allocations.
-func (p *Planner) ApplyReport(id string, l WorkerReport, now Instant) {
+func (p *Planner) ApplyReport(id string, report WorkerReport, now Instant) {
 	w := p.workers[id]
 	if w == nil {
 		return
 	}
-	if l.Incarnation != 0 && w.Incarnation != 0 && l.Incarnation != w.Incarnation {
-		if l.Incarnation < w.Incarnation {
+	if report.Incarnation != 0 && w.Incarnation != 0 && report.Incarnation != w.Incarnation {
+		if report.Incarnation < w.Incarnation {
 			return
 		}
-		p.newIncarnation(w, l.Incarnation, now)
+		p.newIncarnation(w, report.Incarnation, now)
 	}
-	if l.Incarnation != 0 {
+	if report.Incarnation != 0 {
 		if w.Incarnation == 0 {
-			w.Incarnation = l.Incarnation
+			w.Incarnation = report.Incarnation
 		}
 		// Adopted runs of another incarnation ended with it.
 		p.loseRuns(w, now, func(a *allocation) bool {
-			return a.phase == phaseAdopted && p.incarnationOf(a) != 0 && p.incarnationOf(a) != l.Incarnation
+			return a.phase == phaseAdopted && p.incarnationOf(a) != 0 && p.incarnationOf(a) != report.Incarnation
 		})
 	}
 	if !w.listed {
@@ -252,14 +252,14 @@
 		w.leaseExpiryMs = now.Ms + p.maxLeaseBound()
 	}
 	w.listed, w.reachable = true, true
-	for _, f := range l.Finished {
+	for _, f := range report.Finished {
 		if f.Seq <= w.appliedSeq {
 			continue
 		}
 		w.appliedSeq = f.Seq
 		p.applyFinished(w, f, now)
 	}
-	p.checkRunning(w, l, now)
+	p.checkRunning(w, report, now)
 }
 
 // incarnationOf returns the worker incarnation on which a run was placed.
@@ -273,12 +273,12 @@
 }
 
 // checkRunning compares the runs that a worker lists with its allocations. Runs
-// that are missing from the list are requeued if a stop was confirmed or they
+// that are missing from the report are requeued if a stop was confirmed or they
 // were adopted. If the worker had confirmed their start, they are stopped first;
-// they are requeued when a list sent after the confirmed stop omits them too.
-func (p *Planner) checkRunning(w *Worker, l WorkerReport, now Instant) {
-	listed := make(map[Ref]bool, len(l.Running))
-	for _, r := range l.Running {
+// they are requeued when a report requested after the confirmed stop omits them too.
+func (p *Planner) checkRunning(w *Worker, report WorkerReport, now Instant) {
+	listed := make(map[Ref]bool, len(report.Running))
+	for _, r := range report.Running {
 		ref, ok := ParseRef(r.Task)
 		if !ok {
 			continue
@@ -286,11 +286,11 @@
 		listed[ref] = true
 		p.applyRunning(w, ref, r)
 	}
-	if len(l.Finished) >= maxFinished {
+	if len(report.Finished) >= maxFinished {
 		return // the missing runs may have ends that do not fit into this reply
 	}
 	for ref, a := range w.allocations {
-		if listed[ref] || a.phaseStartMs >= l.SentMs {
+		if listed[ref] || a.phaseStartMs >= report.SentMs {
 			continue
 		}
 		switch a.phase {
--- a/internal/cell/sched/rules_test.go
+++ b/internal/cell/sched/rules_test.go
@@ -208,9 +208,9 @@
 		out = append(out, fmt.Sprintf("%s/%d@%s", st.Ref, st.Run, st.Worker))
 	}
 	sort.Strings(out)
-	for _, w := range plan.Requests {
-		sort.Strings(w.Workers)
-		out = append(out, fmt.Sprintf("ask %s %s", w.Step, strings.Join(w.Workers, ",")))
+	for _, req := range plan.Requests {
+		sort.Strings(req.Workers)
+		out = append(out, fmt.Sprintf("ask %s %s", req.Step, strings.Join(req.Workers, ",")))
 	}
 	return strings.Join(out, " ")
 }
@@ -235,8 +235,8 @@
 
 // allow replies to the oldest advice request of a step with the allowed workers.
 func (s *script) allow(step string, ids []string) string {
-	for i, w := range s.requests {
-		if w.Step != step {
+	for i, req := range s.requests {
+		if req.Step != step {
 			continue
 		}
 		s.requests = append(s.requests[:i], s.requests[i+1:]...)
@@ -245,7 +245,7 @@
 		for _, id := range ids {
 			tickets[id] = "t"
 		}
-		s.p.ApplyAdvice(w, tickets, true, s.now.Ms, s.now)
+		s.p.ApplyAdvice(req, tickets, true, s.now.Ms, s.now)
 		return ""
 	}
 	return "no advice request"
@@ -298,20 +298,20 @@
 	return ""
 }
 
-// list passes a worker's lists to the planner. The items are run:TASK:RUN,
+// list passes a report of a worker to the planner. The items are run:TASK:RUN,
 // end:SEQ:TASK:RUN:REASON and incarnation=N.
 func (s *script) list(id string, items []string) {
-	l := WorkerReport{SentMs: s.now.Ms + 1, Incarnation: 1}
+	report := WorkerReport{SentMs: s.now.Ms + 1, Incarnation: 1}
 	for _, it := range items {
 		p := strings.Split(it, ":")
 		switch p[0] {
 		case "run":
-			l.Running = append(l.Running, Running{Task: p[1], Run: int(num(p[2]))})
+			report.Running = append(report.Running, Running{Task: p[1], Run: int(num(p[2]))})
 		case "end":
-			l.Finished = append(l.Finished, Finished{Seq: num(p[1]), Task: p[2], Run: int(num(p[3])), Reason: EndReason(p[4])})
+			report.Finished = append(report.Finished, Finished{Seq: num(p[1]), Task: p[2], Run: int(num(p[3])), Reason: EndReason(p[4])})
 		default:
-			l.Incarnation = num(strings.TrimPrefix(it, "incarnation="))
+			report.Incarnation = num(strings.TrimPrefix(it, "incarnation="))
 		}
 	}
-	s.p.ApplyReport(id, l, s.now)
+	s.p.ApplyReport(id, report, s.now)
 }
--- a/internal/cell/sched/worker.go
+++ b/internal/cell/sched/worker.go
@@ -14,7 +14,7 @@
 	phaseSent                       // ReleaseStarts has returned the start; it may have been sent
 	phaseRunning                    // the worker has confirmed the start or listed the run
 	phaseAdopted                    // placed by a previous owner; the worker has not listed the run yet
-	phaseStopConfirmed              // the worker has confirmed a stop; a later list shows whether the run still exists
+	phaseStopConfirmed              // the worker has confirmed a stop; a later report shows whether the run still exists
 )
 
 // allocation is the capacity of a worker that one run holds. The package
