--- a/internal/cell/sched/advice.go
+++ b/internal/cell/sched/advice.go
@@ -49,8 +49,8 @@
 type AdviceHosts interface {
 	// Available reports whether any host is free.
 	Available() bool
-	// Reserve reserves a host for a request of the given cost. The host is released
-	// after the reply.
+	// Reserve reserves a host for a request that takes about costMs. The host is
+	// released after the reply.
 	Reserve(costMs float64) (host string, ok bool)
 }
 
@@ -66,11 +66,11 @@
 	if p.queue(si).Advice == nil {
 		return "", true
 	}
-	g := si.advice.answers[w.ID]
-	if !g.allowed || g.incarnation != w.Incarnation || now.Ms > g.untilMs-ticketMarginMs {
+	answer := si.advice.answers[w.ID]
+	if !answer.allowed || answer.incarnation != w.Incarnation || now.Ms > answer.untilMs-ticketMarginMs {
 		return "", false
 	}
-	return g.ticket, true
+	return answer.ticket, true
 }
 
 // workersToAsk returns the workers for the next advice request, if any. They are
@@ -163,8 +163,8 @@
 // ApplyAdvice handles the reply to a request; ok is false if the request failed.
 // Workers without a ticket are denied. The tickets expire ValidMs after issuedMs,
 // a monotonic time.
-func (p *Planner) ApplyAdvice(w AdviceRequest, tickets map[string]string, ok bool, issuedMs int64, now Instant) {
-	si := p.steps[w.StepKey]
+func (p *Planner) ApplyAdvice(req AdviceRequest, tickets map[string]string, ok bool, issuedMs int64, now Instant) {
+	si := p.steps[req.StepKey]
 	if si == nil {
 		return
 	}
@@ -178,16 +178,16 @@
 	if si.advice.answers == nil {
 		si.advice.answers = map[string]adviceAnswer{}
 	}
-	for _, id := range w.Workers {
-		wk := p.workers[id]
-		if wk == nil {
+	for _, id := range req.Workers {
+		worker := p.workers[id]
+		if worker == nil {
 			continue
 		}
 		t, allowed := tickets[id]
-		si.advice.answers[id] = adviceAnswer{allowed: allowed, ticket: t, untilMs: issuedMs + q.Advice.ValidMs, incarnation: wk.Incarnation}
+		si.advice.answers[id] = adviceAnswer{allowed: allowed, ticket: t, untilMs: issuedMs + q.Advice.ValidMs, incarnation: worker.Incarnation}
 	}
 	si.advice.nextRequestMs = now.Ms
-	p.recordShare(q.Name, float64(len(tickets))/float64(max(len(w.Workers), 1)))
+	p.recordShare(q.Name, float64(len(tickets))/float64(max(len(req.Workers), 1)))
 }
 
 // recordShare adds a sample to the allowed share of a queue.
--- a/internal/cell/sched/order.go
+++ b/internal/cell/sched/order.go
@@ -27,7 +27,7 @@
 	si         *stepInstance
 	rank       rank
 	priority   int
-	deadlineMs int64
+	deadlineMs int64 // in ms since 1970
 }
 
 // before orders by rank, priority and deadline.
@@ -141,7 +141,7 @@
 // tokenBucket measures whether a team submits more jobs a second than its weight.
 type tokenBucket struct {
 	tokens float64
-	atMs   int64
+	atMs   int64 // time of the last refill
 }
 
 // bucketSeconds is the burst size of a bucket, in seconds of the team's weight.
--- a/internal/cell/sched/place.go
+++ b/internal/cell/sched/place.go
@@ -127,7 +127,7 @@
 }
 
 // requestAdvice delays the next try and, if a host is free, requests advice about
-// workers on which need more tasks of a step instance could run.
+// workers for the given number of further tasks.
 func (p *Planner) requestAdvice(si *stepInstance, need int, plan *Plan, now Instant) {
 	p.retryLater(si, now)
 	q := p.queue(si)
@@ -150,7 +150,7 @@
 	return !plan.noHostFree
 }
 
-// takeHost reserves a host for an advice request.
+// takeHost reserves a host for an advice request that takes about costMs.
 func (plan *Plan) takeHost(costMs float64) (host string, ok bool) {
 	if !plan.hostFree() {
 		return "", false
@@ -367,7 +367,7 @@
 			continue
 		}
 		si := p.steps[s.stepKey]
-		// A rejected gang is withdrawn as a whole, another step only in part.
+		// A gang is withdrawn as a whole; of other steps, only the starts that can't be sent.
 		if rejected[s.stepKey] && (si == nil || si.spec().Gang || !p.sendable(s, now)) {
 			p.release(w, s.Ref)
 			p.requeue(s.Ref, s.Run, now)
--- a/internal/cell/sched/reserve.go
+++ b/internal/cell/sched/reserve.go
@@ -145,8 +145,8 @@
 	if p.queue(si).Advice == nil {
 		return true, true
 	}
-	g, advised := si.advice.answers[w.ID]
-	return advised, !advised || g.allowed
+	answer, advised := si.advice.answers[w.ID]
+	return advised, !advised || answer.allowed
 }
 
 // classify adds a worker with capacity to the workers that advice allows or to
@@ -155,8 +155,8 @@
 	switch {
 	case c.members <= 0:
 	case advised:
-		g := si.advice.answers[c.w.ID]
-		c.ticketValid = p.queue(si).Advice == nil || g.incarnation == c.w.Incarnation && g.untilMs > replyAtMs
+		answer := si.advice.answers[c.w.ID]
+		c.ticketValid = p.queue(si).Advice == nil || answer.incarnation == c.w.Incarnation && answer.untilMs > replyAtMs
 		allowed = append(allowed, c)
 	default:
 		unknown = append(unknown, c)
