--- a/internal/cell/sched/batch.go
+++ b/internal/cell/sched/batch.go
@@ -6,7 +6,7 @@
 	Keys     []string
 	Values   [][]byte
 	Accepted []string // IDs of the accepted jobs
-	Complete bool     // it contains all pending records
+	Complete bool     // it contains all records that remained to be stored
 	verdicts map[string]Verdict
 	endMarks map[string]endMark // by worker
 }
--- a/internal/cell/sched/explain.go
+++ b/internal/cell/sched/explain.go
@@ -11,10 +11,10 @@
 	Step       string
 	WaitMs     int64
 	Idle       int  // waiting tasks
-	Unusable   int  // unregistered, unreachable, draining, quarantined, in a closed zone, of another pool or without the label
+	Unusable   int  // unregistered, not listed yet, unreachable, backing off, draining, quarantined, in a closed zone, of another pool or without the label
 	NoAdvice   int  // no advice about them
 	Denied     int  // denied by advice
-	NoCapacity int  // without free capacity
+	NoCapacity int  // no slot: too little free capacity, reserved for another gang, at MaxPerWorker, or limited by probing
 	NoTicket   int  // allowed, but the ticket has expired
 	Slots      int  // tasks that could start now
 	OverLimit  bool // the team's quota does not cover all waiting tasks
@@ -50,7 +50,7 @@
 		if w.reservedFor(si.key(), now) {
 			e.Reserved++
 		}
-		g, advised := si.advice.answers[id]
+		answer, advised := si.advice.answers[id]
 		n := p.slotsFor(si, w, waiting, now)
 		_, ticket := p.ticket(w, si, now)
 		switch {
@@ -58,7 +58,7 @@
 			e.Unusable++
 		case needsAdvice && !advised:
 			e.NoAdvice++
-		case needsAdvice && !g.allowed:
+		case needsAdvice && !answer.allowed:
 			e.Denied++
 		case n == 0:
 			e.NoCapacity++
