--- a/internal/node/lead/metrics.go
+++ b/internal/node/lead/metrics.go
@@ -17,8 +17,8 @@
 	adviceRequests *prometheus.CounterVec
 }
 
-// latencyBuckets are the bucket limits in seconds, from one round trip to a store
-// outage.
+// latencyBuckets are the bucket limits in seconds, from one round trip to the
+// duration of a store outage.
 var latencyBuckets = []float64{.002, .005, .01, .02, .05, .1, .25, .5, 1, 2.5, 5, 10}
 
 // NewMetrics registers the metrics of an owner.
--- a/internal/node/lead/owner.go
+++ b/internal/node/lead/owner.go
@@ -4,10 +4,11 @@
 //
 // One loop writes to the store. Each of its cycles takes the queued submissions
 // and cancellations, runs the planner and appends all records, in several batches
-// if there are many. Only then does it respond to callers and send starts. An
-// append carries the owner's epoch and a sequence number, so it is idempotent:
-// this host or a peer can repeat it until its outcome is known. An owner stops as
-// soon as it sees a higher epoch.
+// if there are many. Only then does it respond to callers and send starts, so the
+// intent to start a task is stored before the start is sent. An append carries the
+// owner's epoch and a sequence number, so it is idempotent: this host or a peer can
+// repeat it until its outcome is known. An owner stops as soon as it sees a higher
+// epoch.
 //
 // One loop per worker sends heartbeats, which renew the worker's lease and return
 // its running tasks and ended runs. A run is one execution of a task. The owner
@@ -52,9 +53,9 @@
 	Store        ports.Store
 	Workers      ports.Workers
 	AdviceClient AdviceClient
-	WorkerTopic  string // topic of the worker registry
-	ParseWorker  func(key string, value []byte) (sched.WorkerInfo, error)
-	WorkerID     func(key string) string
+	WorkerTopic  string                                                   // topic of the worker registry
+	ParseWorker  func(key string, value []byte) (sched.WorkerInfo, error) // decodes a registry record
+	WorkerID     func(key string) string                                  // worker ID in the key of a registry record
 	Policy       sched.Policy
 	Clock        clock.Clock
 	Logger       logr.Logger
@@ -203,8 +204,8 @@
 	o.wakePlanner()
 }
 
-// errNotOwner returns the error for requests to an owner that has stopped, of
-// which nothing has been sent to the store.
+// errNotOwner returns the error for a request that has not been sent to the store
+// because the owner has stopped.
 func errNotOwner() error {
 	return fault.New(fault.NotOwner, fault.NotRun, "this host no longer owns the jobs")
 }
--- a/internal/node/lead/store.go
+++ b/internal/node/lead/store.go
@@ -10,8 +10,9 @@
 	"lagooncourse/internal/plat/ports"
 )
 
-// planLoop runs the planner after each change. It does not wait for appends, so
-// advice is requested and capacity is reserved while the store is slow.
+// planLoop runs the planner after each change and at least every planInterval. It
+// does not wait for appends, so advice is requested and capacity is reserved while
+// the store is slow.
 func (o *Owner) planLoop() {
 	ticker := time.NewTicker(planInterval)
 	defer ticker.Stop()
--- a/internal/node/lead/worker.go
+++ b/internal/node/lead/worker.go
@@ -166,7 +166,7 @@
 // needed. A stop without an answer, or refused for overload, must be retried. A
 // refusal because of a higher fencing token ends ownership, and a restarted worker
 // no longer has the run. In all other cases the planner checks the run against the
-// worker's next list.
+// worker's next report.
 func (o *Owner) handleStopResult(s sched.Stop, err error) bool {
 	switch reason := ports.ReasonOf(err); {
 	case err == nil:
