--- a/internal/node/gate/api.go
+++ b/internal/node/gate/api.go
@@ -21,7 +21,7 @@
 	forwardTimeout       = 1200 * time.Millisecond // of one forwarded call
 	forwardPause         = 50 * time.Millisecond
 	defaultBodyLimit     = 256 << 10 // bytes
-	retryAfterSeconds    = 1         // Retry-After in seconds
+	retryAfterSeconds    = 1         // minimum Retry-After value
 )
 
 // serveAPI serves a client request.
--- a/internal/node/gate/claim.go
+++ b/internal/node/gate/claim.go
@@ -15,7 +15,7 @@
 )
 
 // replica is a host's copy of the job records. A host that becomes the owner passes
-// its replica to the planner. It starts with an empty one when its ownership ends.
+// its replica to the planner, and starts with an empty one when its ownership ends.
 type replica struct {
 	state      *sched.State
 	lastGrowth time.Time // when the topic was last found to have grown
@@ -140,7 +140,7 @@
 		if err != nil {
 			return err
 		}
-		if r.state.NextOffset < page.First {
+		if r.state.NextOffset < page.First { // the next records have expired
 			if err := h.readNewest(ctx, r); err != nil {
 				return err
 			}
@@ -341,7 +341,7 @@
 	h.transferOwnership(ctx, h.handoverCandidates(), "the process is shutting down")
 }
 
-// handoverCandidates returns the peers that can take ownership over, the most
+// handoverCandidates returns the peers that can take over ownership, the most
 // powerful first.
 func (h *Host) handoverCandidates() []string {
 	h.mu.Lock()
--- a/internal/node/gate/config.go
+++ b/internal/node/gate/config.go
@@ -17,17 +17,17 @@
 // configState is the configuration and the availability zones out of service,
 // according to the operator topic. It never returns to an older version.
 type configState struct {
-	mu          sync.Mutex
-	newest      map[string]ports.Record // newest record of each key
-	next        int64                   // offset of the first record not read yet
-	config      ports.ClusterConfig
-	closedZones map[string]bool   // availability zones out of service
-	teamByKey   map[string]string // team of each API key
-	lastRead    time.Time         // last successful read from the store or a peer
+	mu        sync.Mutex
+	newest    map[string]ports.Record // newest record of each key
+	next      int64                   // offset of the first record not read yet
+	config    ports.ClusterConfig
+	closedAzs map[string]bool   // availability zones out of service
+	teamByKey map[string]string // team of each API key
+	lastRead  time.Time         // last successful read from the store or a peer
 }
 
 func newConfigState() *configState {
-	return &configState{newest: map[string]ports.Record{}, closedZones: map[string]bool{}, teamByKey: map[string]string{}}
+	return &configState{newest: map[string]ports.Record{}, closedAzs: map[string]bool{}, teamByKey: map[string]string{}}
 }
 
 // Timeouts and intervals of reading the operator topic.
@@ -62,7 +62,7 @@
 	for _, t := range s.config.Teams {
 		v.Teams[t.Name] = sched.Limit{Max: t.Max, Weight: t.Weight}
 	}
-	for az := range s.closedZones {
+	for az := range s.closedAzs {
 		v.ClosedAzs[az] = true
 	}
 	return v
@@ -119,7 +119,7 @@
 	}
 	wait := configLongPoll
 	if !h.store.healthy() {
-		wait = 0
+		wait = 0 // a read with a wait is not tried through peers until it has failed
 	}
 	rctx, cancel := context.WithTimeout(ctx, wait+configTimeout)
 	defer cancel()
@@ -188,14 +188,14 @@
 	}
 	s.next = max(s.next, end)
 	s.lastRead = h.clock.Now()
-	closedZones := map[string]bool{}
+	closedAzs := map[string]bool{}
 	for key, r := range s.newest {
 		if o := h.cfg.ParseOperatorKey(key); o.Az != "" && len(r.Value) > 0 {
-			closedZones[o.Az] = true
+			closedAzs[o.Az] = true
 		}
 	}
-	changed = changed || len(closedZones) != len(s.closedZones)
-	s.closedZones = closedZones
+	changed = changed || len(closedAzs) != len(s.closedAzs)
+	s.closedAzs = closedAzs
 	s.mu.Unlock()
 	if changed {
 		h.policyChanged()
--- a/internal/node/gate/host.go
+++ b/internal/node/gate/host.go
@@ -75,8 +75,8 @@
 	HostTopic        string                                    // registrations of the entry hosts
 	ParseConfig      func([]byte) (ports.ClusterConfig, error) // decodes the configuration
 	ParseOperatorKey func(key string) ports.OperatorKey
-	ParseWorker      func(key string, value []byte) (sched.WorkerInfo, error)
-	WorkerID         func(key string) string
+	ParseWorker      func(key string, value []byte) (sched.WorkerInfo, error) // decodes a worker registry record
+	WorkerID         func(key string) string                                  // worker ID in the key of a registry record
 
 	RetentionMs int64 // retention time of ended jobs
 	MaxLeaseMs  int64 // longest lease that a worker grants, in ms
--- a/internal/node/gate/membership.go
+++ b/internal/node/gate/membership.go
@@ -43,7 +43,7 @@
 // hostEntry is the stored registration of a host.
 type hostEntry struct {
 	Az        string
-	CPUMillis int64 // millicores
+	CPUMillis int64 // CPU limit in millicores
 }
 
 // registerSelf writes this host's registration.
--- a/internal/node/gate/metrics.go
+++ b/internal/node/gate/metrics.go
@@ -44,7 +44,7 @@
 	IsOwner       bool       `json:"isOwner"`
 	ConfigVersion int64      `json:"siteVersion"`
 	ConfigAgeMs   int64      `json:"siteAgeMs"`
-	Next          int64      `json:"next"`
+	Next          int64      `json:"next"` // offset of the replica; 0 while it is in use
 	Peers         []peerDump `json:"peers"`
 }
 
--- a/internal/node/gate/peers.go
+++ b/internal/node/gate/peers.go
@@ -155,14 +155,14 @@
 const handoverCPURatio = 2
 
 // strongerPeer returns the peer with the most CPU, and whether the owner should hand
-// over to it. Only peers within livePeerAge that reach the store and are not shutting
-// down count.
-func strongerPeer(cpuMillicores int64, peers []peer, now time.Time) (addr string, ok bool) {
+// over to it. It considers only peers whose last ping is newer than livePeerAge, that
+// reach the store and that are not shutting down.
+func strongerPeer(ownerCPUMillis int64, peers []peer, now time.Time) (addr string, ok bool) {
 	var best peer
 	for _, p := range peers {
 		if now.Sub(p.lastContact) < livePeerAge && !p.leaving && p.storeOK && (p.cpuMillis > best.cpuMillis || p.cpuMillis == best.cpuMillis && p.addr < best.addr) {
 			best = p
 		}
 	}
-	return best.addr, best.cpuMillis >= handoverCPURatio*max(cpuMillicores, 1)
+	return best.addr, best.cpuMillis >= handoverCPURatio*max(ownerCPUMillis, 1)
 }
--- a/internal/node/gate/peers_test.go
+++ b/internal/node/gate/peers_test.go
@@ -12,8 +12,8 @@
 
 func TestShouldClaim(t *testing.T) {
 	now := time.Unix(1000, 0)
-	live := func(addr string, cpuMillicores int64) peer {
-		return peer{addr: addr, lastContact: now, cpuMillis: cpuMillicores, ownerAge: time.Hour}
+	live := func(addr string, cpu int64) peer {
+		return peer{addr: addr, lastContact: now, cpuMillis: cpu, ownerAge: time.Hour}
 	}
 	inContactWithOwner := func(addr string) peer {
 		return peer{addr: addr, lastContact: now, ownerAddr: "o", ownerAge: 100 * time.Millisecond}
--- a/internal/node/gate/relay.go
+++ b/internal/node/gate/relay.go
@@ -12,7 +12,7 @@
 )
 
 // relayStore calls the store directly or, without a definitive answer, through a
-// peer. The same append may be sent on both paths: those to the job topic carry an
+// peer. The same append may be sent on both paths: the owner's appends carry an
 // epoch and a sequence number, and a repeated claim or host registration has no
 // further effect.
 type relayStore struct {
@@ -20,9 +20,9 @@
 	host   *Host
 
 	mu          sync.Mutex
-	lastFailure time.Time // last failed direct call
-	failures    int       // failures since the last successful direct call
-	lastSuccess time.Time // last successful direct call
+	lastFailure time.Time // last failure of the direct path
+	failures    int       // since lastSuccess
+	lastSuccess time.Time // last definitive answer to a direct call
 }
 
 var _ ports.Store = (*relayStore)(nil)
@@ -65,7 +65,8 @@
 	s.lastSuccess, s.failures = s.host.clock.Now(), 0
 }
 
-// recordFailure records a failure of the direct path.
+// recordFailure records a failure of the direct path: a call without a definitive
+// answer, or one that a peer answered first.
 func (s *relayStore) recordFailure(reason string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/node/gate/relay_test.go
+++ b/internal/node/gate/relay_test.go
@@ -13,8 +13,9 @@
 	"lagooncourse/internal/base/fault"
 )
 
-// TestSilentStore checks that calls are relayed when the store does not answer this
-// host alone. Such a store delayed every second append of the owner by 700 ms.
+// TestSilentStore checks that calls are relayed when the store answers the other
+// hosts but not this one. Such a store delayed every second append of the owner by
+// 700 ms.
 func TestSilentStore(t *testing.T) {
 	c := clock.NewManual(time.Unix(1000, 0))
 	h := &Host{clock: c, log: logr.Discard(), peers: map[string]*peer{"b": {addr: "b", lastContact: c.Now(), storeOK: true}}}
--- a/internal/node/gate/wire.go
+++ b/internal/node/gate/wire.go
@@ -26,9 +26,9 @@
 	Owner      string // address of the owner in Epoch; empty if unknown
 	OwnerAgeMs int64  // since the sender's last contact with the owner; 0 if it is the owner
 	ConfigNext int64  // offset of the first operator record that the sender has not read
-	StoreOK    bool   // the sender's last direct store call succeeded
+	StoreOK    bool   // the sender's last direct store call got a definitive answer
 	Claim      bool   // asks the receiver to claim ownership immediately
-	CPUMillis  int64  // millicores of the sender
+	CPUMillis  int64  // CPU limit of the sender in millicores
 }
 
 // callKind is the operation of a forwarded call.
