--- a/internal/node/gate/cluster_test.go
+++ b/internal/node/gate/cluster_test.go
@@ -82,13 +82,13 @@
 
 // adviser is an advice service that allows every worker.
 type adviser struct {
-	mu    sync.Mutex
-	asked int
+	mu       sync.Mutex
+	requests int
 }
 
 func (a *adviser) Advise(_ context.Context, r ports.AdviceRequest) (ports.Advice, error) {
 	a.mu.Lock()
-	a.asked++
+	a.requests++
 	a.mu.Unlock()
 	t := map[string]string{}
 	for _, id := range r.Workers {
@@ -410,13 +410,13 @@
 	c.checkInvariants()
 }
 
-// TestZoneOutOfService checks that a zone taken out of service reaches the planner's
-// configuration, that jobs still run, and that the zone can be restored.
+// TestZoneOutOfService checks that an availability zone taken out of service reaches
+// the planner's configuration, that jobs still run, and that the zone can be restored.
 func TestZoneOutOfService(t *testing.T) {
 	c := newCluster(t, 2)
 	c.awaitReady()
 	c.store.Put("op", "out/x", []byte("{}"))
-	polls.Until(t, 3*time.Second, "all hosts have the zone out of service", func() bool {
+	polls.Until(t, 3*time.Second, "the zone is out of service on all hosts", func() bool {
 		return c.hosts[0].config.policy().ClosedAzs["x"] && c.hosts[1].config.policy().ClosedAzs["x"]
 	})
 	assert.Equal(t, c.submit(0, "z0", 3000), 200)
--- a/internal/node/lead/play_test.go
+++ b/internal/node/lead/play_test.go
@@ -226,7 +226,8 @@
 	o.planner.ApplyStartOutcome(s, startOutcome(err, 0), sim.now())
 }
 
-// sendStop sends a stop and queues it for the next round if it is not answered.
+// sendStop sends a stop and queues it for the next round if it is not answered and
+// the planner still tracks the worker.
 func (sim *simulation) sendStop(o *simOwner, s sched.Stop) {
 	err := sim.fleet.StopAt(ports.StopOrder{Peer: ports.Peer{ID: s.Worker}, Token: o.epoch, Task: s.Ref.String(), Run: s.Run}, sim.nowMs)
 	if err == nil {
@@ -234,7 +235,7 @@
 		return
 	}
 	var refused *ports.RefusedError
-	if _, used := o.planner.Worker(s.Worker); used && !errors.As(err, &refused) {
+	if _, tracked := o.planner.Worker(s.Worker); tracked && !errors.As(err, &refused) {
 		o.stops = append(o.stops, s)
 	}
 }
