--- a/internal/node/gate/peers.go
+++ b/internal/node/gate/peers.go
@@ -33,7 +33,7 @@
 	ownerContactWindow = 700 * time.Millisecond  // a peer's contact with the owner within this time prevents a claim
 	isolatedClaimDelay = 2500 * time.Millisecond // silence of the owner after which a host without contact to any peer may claim
 	silentPeerAge      = 60 * time.Second        // peers silent for longer are pinged less often
-	livePeerAge        = 900 * time.Millisecond  // maximum age of the last ping of a peer that counts in an election or gets ownership as a stronger host
+	livePeerAge        = 900 * time.Millisecond  // maximum age of the last ping of a peer that counts in an election or in strongerPeer
 	startupPingWait    = 250 * time.Millisecond  // time to find the owner before the first claim
 )
 
