--- a/internal/node/owner/calls.go
+++ b/internal/node/owner/calls.go
@@ -39,8 +39,9 @@
 	return ic.answer, ic.err
 }
 
-// removeCall removes a call from the calls in progress. It is called once the
-// outcome is recorded, so that a repeated call finds it, or cannot be recorded.
+// removeCall removes a call from the calls in progress. It is called only once the
+// outcome has been recorded or recording it has failed, so that until then a
+// repeated call finds the call in progress.
 func (g *Group) removeCall(call group.Call) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/node/owner/commit.go
+++ b/internal/node/owner/commit.go
@@ -117,7 +117,7 @@
 			return nil
 		}
 		g.updateLogDown(err)
-		if outcome, settled := g.readBack(ctx, b); settled {
+		if outcome, final := g.readBack(ctx, b); final {
 			return outcome
 		}
 		select {
@@ -157,9 +157,9 @@
 }
 
 // readBack reads the stream to find out whether the batch has been applied or
-// is void. settled is false if the log does not respond or the batch may still be
+// is void. final is false if the log does not respond or the batch may still be
 // applied.
-func (g *Group) readBack(ctx context.Context, b group.Batch) (outcome error, settled bool) {
+func (g *Group) readBack(ctx context.Context, b group.Batch) (outcome error, final bool) {
 	err := g.catchUp(ctx, g.replay)
 	g.updateLogDown(err)
 	if err != nil {
@@ -168,14 +168,14 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.notifyChanged()
-	applied, settled := g.state.BatchStatus(b.Epoch, b.Seq)
+	applied, final := g.state.BatchStatus(b.Epoch, b.Seq)
 	if g.state.Epoch != b.Epoch {
 		g.dropOwnership("another host claimed it")
 	}
 	switch {
 	case applied:
 		return nil, true
-	case settled:
+	case final:
 		return fault.New(fault.Unavailable, fault.NotRun, "group %q was claimed by host %q before the change", g.cfg.Name, g.state.Owner.Host), true
 	case g.epoch == 0:
 		return fault.New(fault.Unavailable, fault.Unknown, "group %q has had two owners since the change", g.cfg.Name), true
@@ -184,8 +184,8 @@
 }
 
 // confirmOwner returns an error unless the log shows that this host still owns
-// the group. Without that check, this host's answers about the group's workers may
-// contradict those of a later owner.
+// the group. Without that check, this host's answers about attempts may contradict
+// those of a later owner.
 func (g *Group) confirmOwner(ctx context.Context) error {
 	g.mu.Lock()
 	replay, epoch := g.replay, g.epoch
--- a/internal/node/owner/grants.go
+++ b/internal/node/owner/grants.go
@@ -10,7 +10,7 @@
 )
 
 // This file manages the group's grants, its parts of the teams' limits. A grant
-// is increased from the pool, the part of the team's limit that is granted to no
+// is increased from the ungranted part of the team's limit, which is granted to no
 // group, when waiting work needs it. It is decreased when it is idle, earlier if
 // another group requests a grant.
 
@@ -22,14 +22,15 @@
 	grantRequestTTL      = time.Second            // lifetime of a grant request that is not repeated
 )
 
-// grantState is the state of the group's grants beyond the configuration.
+// grantState is the state of the group's grants that the configuration does not
+// contain.
 type grantState struct {
 	seq       uint64 // of the newest grant record in this epoch
 	requests  map[string]grantRequest
 	idleSince map[string]time.Time // team -> time from which on its grant has exceeded its use
-	// reduced holds the grants that are being decreased. They apply before the
-	// record of the decrease is appended.
-	reduced map[string]jobs.Size
+	// decreased holds the new sizes of the grants that are being decreased. They apply
+	// before the record of the decrease is appended.
+	decreased map[string]jobs.Size
 }
 
 // grantRequest is the size that a team's waiting work needs in addition to the
@@ -41,7 +42,7 @@
 
 // newGrantState returns a state without requests.
 func newGrantState() grantState {
-	return grantState{requests: map[string]grantRequest{}, idleSince: map[string]time.Time{}, reduced: map[string]jobs.Size{}}
+	return grantState{requests: map[string]grantRequest{}, idleSince: map[string]time.Time{}, decreased: map[string]jobs.Size{}}
 }
 
 // request records that a team needs size in addition to its use. Requests that
@@ -71,8 +72,8 @@
 // sum of all grants exceeds the team's limit. The caller holds the lock.
 func (g *Group) effectiveLimit(team string, cell *config.State) jobs.Size {
 	c := cell.EffectiveLimit(team, g.cfg.Name)
-	if lowered, ok := g.grants.reduced[team]; ok {
-		c = c.Min(lowered)
+	if size, ok := g.grants.decreased[team]; ok {
+		c = c.Min(size)
 	}
 	return c
 }
@@ -105,7 +106,7 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	clear(g.grants.reduced)
+	clear(g.grants.decreased)
 	g.wakeLoop()
 }
 
@@ -183,20 +184,21 @@
 }
 
 // increasedGrant returns a larger grant that covers the next waiting item, and of
-// the remaining demand as much as 1/ungrantedDivisor of the pool allows. It returns
-// false if the grant suffices already or the pool is too small for the next item.
-func increasedGrant(current, used, next, demand, pool jobs.Size) (jobs.Size, bool) {
-	maximum := current.Plus(pool)
+// the remaining demand as much as 1/ungrantedDivisor of the ungranted size allows. It
+// returns false if the grant suffices already or the ungranted size is too small for
+// the next item.
+func increasedGrant(current, used, next, demand, ungranted jobs.Size) (jobs.Size, bool) {
+	maximum := current.Plus(ungranted)
 	need := used.Plus(next)
 	if !need.FitsIn(maximum) || need.FitsIn(current) {
 		return jobs.Size{}, false
 	}
-	extended := current.Plus(pool.Scaled(jobs.Size{CPU: 1, Mem: 1, Accel: 1}, jobs.Size{CPU: ungrantedDivisor, Mem: ungrantedDivisor, Accel: ungrantedDivisor}))
+	extended := current.Plus(ungranted.Scaled(jobs.Size{CPU: 1, Mem: 1, Accel: 1}, jobs.Size{CPU: ungrantedDivisor, Mem: ungrantedDivisor, Accel: ungrantedDivisor}))
 	return need.Max(used.Plus(demand).Min(extended)).Max(current).Min(maximum), true
 }
 
-// ungrantedDivisor bounds the part of the pool that one increase takes for more than
-// the next item. The rest stays available to other groups.
+// ungrantedDivisor bounds the part of the ungranted size that one increase takes for
+// more than the next item. The rest stays available to other groups.
 const ungrantedDivisor = 4
 
 // decreasedGrant returns a grant reduced to the current use, once the excess has
@@ -220,9 +222,9 @@
 		return config.Grant{}, false
 	}
 	delete(g.grants.idleSince, team)
-	lowered := used.Min(current)
-	g.grants.reduced[team] = lowered
-	return config.Grant{Team: team, Amount: lowered}, true
+	size := used.Min(current)
+	g.grants.decreased[team] = size
+	return config.Grant{Team: team, Amount: size}, true
 }
 
 // tasksOverLimit returns the placed tasks to stop because their team's use exceeds
--- a/internal/node/owner/group.go
+++ b/internal/node/owner/group.go
@@ -6,8 +6,8 @@
 // submitted to it. According to the log, at most one entry host at a time owns it.
 // A group's records form one stream of the log.
 //
-// An attempt is one execution of a task. Its start intent is the record that it
-// is about to be started on a certain worker.
+// An attempt is one execution of a task. Its start intent is a record that names
+// the worker and is written before the start request is sent.
 //
 // A group has two roles. As the home group of its jobs it records accepted
 // jobs, start intents and ends of attempts. As the group of its workers it
@@ -70,7 +70,7 @@
 	// Groups lists the groups that live entry hosts own.
 	Groups() []wire.GroupInfo
 	// MayClaim reports whether this host may claim the group although, according
-	// to the log, holder owns its newest epoch.
+	// to the log, owner owns its newest epoch, which is epoch.
 	MayClaim(name string, epoch uint64, owner group.Owner) bool
 }
 
@@ -332,8 +332,8 @@
 	if !replay.Ready() {
 		return fault.New(fault.Unavailable, fault.NotRun, "the stream has neither its first record nor a usable snapshot")
 	}
-	if h := g.state.Owner; h.Host != "" && h.Host != g.cfg.Self.Host && !g.cfg.Remote.MayClaim(g.cfg.Name, g.state.Epoch, h) {
-		return fault.New(fault.Conflict, fault.NotRun, "host %q owns epoch %d", h.Host, g.state.Epoch)
+	if o := g.state.Owner; o.Host != "" && o.Host != g.cfg.Self.Host && !g.cfg.Remote.MayClaim(g.cfg.Name, g.state.Epoch, o) {
+		return fault.New(fault.Conflict, fault.NotRun, "host %q owns epoch %d", o.Host, g.state.Epoch)
 	}
 	epoch := g.state.Epoch + 1
 	data, err := encodeBatch(group.Batch{Epoch: epoch, Claim: &g.cfg.Self})
--- a/internal/node/owner/maintain.go
+++ b/internal/node/owner/maintain.go
@@ -20,8 +20,8 @@
 )
 
 // maintenanceLoop appends snapshots, so that the log may drop the records before
-// them, deletes expired jobs and calls, and updates the modes of distrusted
-// workers.
+// them, deletes expired jobs and calls, and updates which attempts may be placed on
+// distrusted workers.
 func (g *Group) maintenanceLoop(ctx context.Context) {
 	every(ctx, maintenanceInterval, func(ctx context.Context) {
 		g.snapshot(ctx)
--- a/internal/node/owner/observer.go
+++ b/internal/node/owner/observer.go
@@ -9,9 +9,9 @@
 	"lagooncourse/internal/cell/queue"
 )
 
-// This file updates the queue from the durable state. A task is in the queue, or
-// delayed before a retry, while its state is Waiting. A gang is one item, which is
-// in the queue while the gang can start.
+// This file updates the queue from the durable state. While the state of a task is
+// Waiting, it is in the queue, delayed before a retry, or being placed. A gang is one
+// item, to which the same applies while the gang can start.
 
 // taskObserver updates the queue at every change of a task.
 type taskObserver Group
--- a/internal/node/owner/place.go
+++ b/internal/node/owner/place.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// requeueDue returns the items whose delay is over to the queue. The caller holds
-// the lock.
+// requeueDue moves the items whose delay has ended back to the queue. The caller
+// holds the lock.
 func (g *Group) requeueDue() {
 	now := g.cfg.Clock.Now()
 	for ref, at := range g.retryAt {
@@ -235,13 +235,13 @@
 }
 
 // reserveAll reserves capacity for all requests, or for none.
-func reserveAll(b *alloc.Allocations, requests []alloc.ReserveRequest, nowMs int64) ([]alloc.Slot, bool) {
+func reserveAll(a *alloc.Allocations, requests []alloc.ReserveRequest, nowMs int64) ([]alloc.Slot, bool) {
 	slots := make([]alloc.Slot, 0, len(requests))
 	for i, req := range requests {
-		s, ok := b.Reserve(req, nowMs)
+		s, ok := a.Reserve(req, nowMs)
 		if !ok {
 			for _, reserved := range requests[:i] {
-				b.Cancel(reserved.Attempt)
+				a.Cancel(reserved.Attempt)
 			}
 			return nil, false
 		}
@@ -258,7 +258,7 @@
 	g.placingByTeam[it.Team] = g.placingByTeam[it.Team].Plus(it.Total())
 }
 
-// endPlacing ends the count of beginPlacing. The caller holds the lock.
+// endPlacing undoes beginPlacing. The caller holds the lock.
 func (g *Group) endPlacing(pl *placement) {
 	it := pl.item
 	size, ok := g.placing[it.Ref]
--- a/internal/node/owner/preempt.go
+++ b/internal/node/owner/preempt.go
@@ -55,7 +55,8 @@
 
 // tasksOverShare returns placed batch tasks to stop, of teams above their fair
 // share, if the fleet is almost full and another team with waiting work is below
-// its fair share. It also counts them in the stats. The caller holds the lock.
+// its fair share. It adds their number to Stats.Rebalanced, unless it stops at
+// maxRebalanceStops. The caller holds the lock.
 func (g *Group) tasksOverShare() map[jobs.Ref]bool {
 	over := map[jobs.Ref]bool{}
 	if !g.preempts() {
--- a/internal/node/owner/reconcile.go
+++ b/internal/node/owner/reconcile.go
@@ -62,10 +62,10 @@
 
 // Report records the ends of attempts of the group's jobs. The end of an attempt
 // that is not the current one of its task counts as recorded: either it was
-// recorded before, or the job has been deleted. Before it says so, Report confirms
-// in the log that this host owns the group. Otherwise a later owner may have
-// started the attempt, and its end would be deleted at the worker's group before
-// it is recorded.
+// recorded before, or the job has been deleted. Before it returns such an end as
+// recorded, Report confirms in the log that this host owns the group. Otherwise a
+// later owner may have started the attempt, and its end would be deleted at the
+// worker's group before it is recorded.
 func (g *Group) Report(ctx context.Context, msg wire.ReportMsg) (a wire.ReportAnswer, err error) {
 	records, err := g.endRecords(msg)
 	if err == nil && len(records) < len(msg.Reports) {
@@ -115,7 +115,7 @@
 		for name, queries := range g.unconfirmedQueries() {
 			go g.queryAttempts(ctx, name, queries)
 		}
-		g.stopUnwanted(ctx)
+		g.stopUnwantedAttempts(ctx)
 	})
 }
 
@@ -191,12 +191,12 @@
 	}
 }
 
-// stopUnwanted sends stop requests for attempts that should no longer run: those
+// stopUnwantedAttempts sends stop requests for attempts that should no longer run: those
 // of cancelled jobs, of gangs with a task that waits again, of teams whose use
 // exceeds their grant, and of teams above their fair share while another team is
 // below its own.
-func (g *Group) stopUnwanted(ctx context.Context) {
-	for _, msg := range g.unwanted() {
+func (g *Group) stopUnwantedAttempts(ctx context.Context) {
+	for _, msg := range g.unwantedAttempts() {
 		go func() {
 			ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 			defer cancel()
@@ -208,8 +208,8 @@
 // maxStops bounds the stop requests of one round of the loop.
 const maxStops = 500
 
-// unwanted returns the stop requests for attempts that should no longer run.
-func (g *Group) unwanted() []wire.StopMsg {
+// unwantedAttempts returns the stop requests for attempts that should no longer run.
+func (g *Group) unwantedAttempts() []wire.StopMsg {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	over := g.tasksOverLimit()
--- a/internal/node/owner/renew.go
+++ b/internal/node/owner/renew.go
@@ -233,8 +233,8 @@
 }
 
 // reportedAttempts converts a worker's inventory for the capacity records. An
-// inventory marked Same equals the last one without the attempts that the
-// renewal told the worker to delete.
+// inventory marked Same equals the last one without the attempts in deleted, which
+// the worker has deleted because the renewal listed their ends as recorded.
 func reportedAttempts(inv worker.Inventory, last []alloc.ReportedAttempt, deleted []alloc.Attempt) []alloc.ReportedAttempt {
 	if inv.Same {
 		return slices.DeleteFunc(slices.Clone(last), func(s alloc.ReportedAttempt) bool { return slices.Contains(deleted, s.Attempt) })
