--- a/internal/node/route/pool.go
+++ b/internal/node/route/pool.go
@@ -107,9 +107,9 @@
 func (p *Pool) Load() wire.Pool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	w := wire.Pool{Group: p.cfg.Group, Az: p.cfg.Az, Service: p.cfg.Service, Busy: p.busy, Queued: len(p.queue)}
-	w.Slots = p.slots()
-	return w
+	load := wire.Pool{Group: p.cfg.Group, Az: p.cfg.Az, Service: p.cfg.Service, Busy: p.busy, Queued: len(p.queue)}
+	load.Slots = p.slots()
+	return load
 }
 
 // slots returns the number of slots of the available targets. The caller must hold
--- a/internal/node/wire/wire.go
+++ b/internal/node/wire/wire.go
@@ -127,10 +127,10 @@
 	WaitMs int64
 }
 
-// StatusAnswer carries a job and the reasons why it is waiting.
+// StatusAnswer carries a job and recent explanations of its status.
 type StatusAnswer struct {
 	Job jobs.Job
-	Why []string // reasons, newest last
+	Why []string // explanations, newest last
 }
 
 // CancelMsg requests the cancellation of a job.
@@ -162,7 +162,7 @@
 type StartMsg struct {
 	Group      string
 	Attempt    alloc.Attempt
-	Home       string // group that owns the job
+	Home       string // home group of the job
 	Spec       jobs.Spec
 	Checkpoint string // checkpoint to continue from, or empty
 }
@@ -189,7 +189,7 @@
 type AttemptStatusAnswer struct {
 	Epoch    uint64                // epoch of the owner that answered
 	Statuses []alloc.AttemptStatus // state for each query, in their order
-	Reports  []alloc.Report        // for each query; has the details if the state is alloc.Ended
+	Reports  []alloc.Report        // for each query; has the details if the state is alloc.StatusEnded
 }
 
 // ReportMsg reports to the owner of a job's group how attempts ended.
