--- a/internal/node/entry/api.go
+++ b/internal/node/entry/api.go
@@ -31,7 +31,7 @@
 const (
 	maxStatusWait  = time.Minute      // wait for the end of a job
 	maxListJobs    = 1000             // jobs listed per group
-	maxCallTimeout = 10 * time.Minute // maximum of Call-Timeout-Ms, as of the setting callTimeout
+	maxCallTimeout = 10 * time.Minute // maximum of Call-Timeout-Ms and of the setting callTimeout
 )
 
 // routes returns the routes of the HTTP API, which docs/API.md documents.
--- a/internal/node/entry/cell.go
+++ b/internal/node/entry/cell.go
@@ -271,11 +271,11 @@
 		select {
 		case <-time.After(wait):
 		case <-ctx.Done():
-			ran := fault.NotRun
+			outcome := fault.NotRun
 			if mayBeInLog {
-				ran = fault.Unknown
+				outcome = fault.Unknown
 			}
-			return fault.New(fault.Unavailable, ran, "the log has not confirmed the change")
+			return fault.New(fault.Unavailable, outcome, "the log has not confirmed the change")
 		}
 		wait = min(2*wait, maxAppendBackoff)
 	}
--- a/internal/node/entry/duty.go
+++ b/internal/node/entry/duty.go
@@ -61,10 +61,11 @@
 }
 
 // shouldOwn reports whether this host should own the group now. The result is false if
-// this host is not eligible or cannot reach the log. An owner keeps the group until it
-// has not been first in the group's order of preference for handoverDelay. If the group
-// has no live owner, the host at rank r of the order, counted from 0, should claim it
-// r*claimStagger after it last had an owner, so that normally only one host does.
+// this host is not eligible or cannot reach the log. An owner keeps the group until
+// other hosts have been first in the group's order of preference for handoverDelay. If
+// the group has no live owner, the host at rank r of the order, counted from 0, should
+// claim it r*claimStagger after it last had an owner, so that normally only one host
+// does.
 func (h *Host) shouldOwn(lg *localGroup, eligible []peers.Peer, logUnreachable bool, now time.Time) bool {
 	rank := -1
 	order := peers.PreferenceOrder(lg.g.Name(), lg.g.Az(), eligible)
--- a/internal/node/entry/jobs.go
+++ b/internal/node/entry/jobs.go
@@ -114,7 +114,7 @@
 	return JobAnswer{Job: s.Job, State: s.Job.State(), Why: s.Why}, err
 }
 
-// JobAnswer is a job with its overall state and the reasons why it is waiting.
+// JobAnswer is a job with its overall state and recent explanations of its status.
 type JobAnswer struct {
 	jobs.Job
 	State jobs.State `json:"state"`
--- a/internal/node/entry/remote.go
+++ b/internal/node/entry/remote.go
@@ -90,7 +90,7 @@
 	return groups
 }
 
-// MayClaim implements owner.Remote. It records the holder and epoch of the newest claim
+// MayClaim implements owner.Remote. It records the owner and epoch of the newest claim
 // that the group has read from its stream, and reports whether the group has no owner
 // that other hosts must wait for.
 func (r *remote) MayClaim(name string, epoch uint64, owner group.Owner) bool {
@@ -223,9 +223,9 @@
 	h.mu.Unlock()
 	var list []wire.Pool
 	for _, p := range pools {
-		w := p.Load()
-		if order := peers.PreferenceOrder(w.Group, w.Az, live); len(order) > 0 && order[0].ID == h.settings.Host.ID {
-			list = append(list, w)
+		load := p.Load()
+		if order := peers.PreferenceOrder(load.Group, load.Az, live); len(order) > 0 && order[0].ID == h.settings.Host.ID {
+			list = append(list, load)
 		}
 	}
 	return list
--- a/internal/node/owner/group.go
+++ b/internal/node/owner/group.go
@@ -70,7 +70,7 @@
 	// Groups lists the groups that live entry hosts own.
 	Groups() []wire.GroupInfo
 	// MayClaim reports whether this host may claim the group although, according
-	// to the log, owner owns its newest epoch, which is epoch.
+	// to the log, owner owns epoch, the newest epoch of the group.
 	MayClaim(name string, epoch uint64, owner group.Owner) bool
 }
 
