--- a/internal/node/entry/api.go
+++ b/internal/node/entry/api.go
@@ -24,7 +24,7 @@
 	HeaderCallID     = "Call-Id"         // request and response
 	HeaderIdempotent = "Call-Idempotent" // request: true or false
 	HeaderTimeout    = "Call-Timeout-Ms" // request: in milliseconds
-	HeaderRan        = "Call-Ran"        // response: outcome of the call, a fault.Outcome
+	HeaderOutcome    = "Call-Ran"        // response: outcome of the call, a fault.Outcome
 )
 
 // Limits of the values in requests and of responses.
@@ -104,7 +104,7 @@
 // checkOperator returns an error unless the request comes from an operator: it
 // has the operators' key or, if none is set, comes from the loopback address.
 func (h *Host) checkOperator(r *http.Request) error {
-	if hash := h.settings.API.OperatorKey; hash != "" {
+	if hash := h.settings.API.OperatorKeyHash; hash != "" {
 		if config.HashSecret(requestKey(r)) == hash {
 			return nil
 		}
@@ -149,18 +149,18 @@
 
 // Dump is a snapshot of an entry host's state for operators.
 type Dump struct {
-	Host     string            `json:"host"`
-	Az       string            `json:"az"`
-	UptimeMs int64             `json:"uptimeMs"`
-	Leaving  bool              `json:"leaving"`
-	Ready    string            `json:"ready"`     // "yes", or the error of Ready
-	CellNext int64             `json:"cellNext"`  // next offset of the configuration stream
-	CellAge  int64             `json:"cellAgeMs"` // time since the configuration was last known to be complete
-	Live     []peers.Peer      `json:"live"`      // live entry hosts, including this one
-	Groups   []owner.Dump      `json:"groups"`
-	Pools    []wire.Pool       `json:"pools"`
-	Router   route.RouterStats `json:"router"`
-	Traffic  Traffic           `json:"trafficBytes"`
+	Host        string            `json:"host"`
+	Az          string            `json:"az"`
+	UptimeMs    int64             `json:"uptimeMs"`
+	Leaving     bool              `json:"leaving"`
+	Ready       string            `json:"ready"`     // "yes", or the error of Ready
+	ConfigNext  int64             `json:"cellNext"`  // next offset of the configuration stream
+	ConfigAgeMs int64             `json:"cellAgeMs"` // time since the configuration was last known to be complete
+	Live        []peers.Peer      `json:"live"`      // live entry hosts, including this one
+	Groups      []owner.Dump      `json:"groups"`
+	Pools       []wire.PoolLoad   `json:"pools"`
+	Router      route.RouterStats `json:"router"`
+	Traffic     PeerTraffic       `json:"trafficBytes"`
 }
 
 // Dump returns the state that GET /dump shows to operators.
@@ -169,7 +169,7 @@
 	now := h.clock.Now()
 	d := Dump{
 		Host: h.settings.Host.ID, Az: h.settings.Host.Az, UptimeMs: now.Sub(h.started).Milliseconds(), Ready: "yes",
-		CellNext: next, CellAge: age.Milliseconds(), Live: h.table.Live(now), Pools: h.servedPools(),
+		ConfigNext: next, ConfigAgeMs: age.Milliseconds(), Live: h.table.Live(now), Pools: h.servedPools(),
 		Router: h.router.Stats(), Groups: []owner.Dump{}, Traffic: h.traffic(),
 	}
 	if err := h.Ready(); err != nil {
@@ -184,15 +184,15 @@
 	return d
 }
 
-// Traffic is the number of bytes exchanged with other entry hosts.
-type Traffic struct {
+// PeerTraffic is the number of bytes exchanged with other entry hosts.
+type PeerTraffic struct {
 	Control frame.Bytes `json:"control"` // membership and configuration
 	Work    frame.Bytes `json:"work"`    // all other methods: requests about jobs and calls
 }
 
 // traffic sums the bytes that this host has exchanged as a server and as a client of
 // the peer protocol.
-func (h *Host) traffic() (t Traffic) {
+func (h *Host) traffic() (t PeerTraffic) {
 	for _, side := range []*frame.Traffic{h.peerServer.Traffic(), h.peerConns.Traffic()} {
 		for method, b := range side.ByMethod() {
 			if method == wire.Gossip.ID || method == wire.ReadConfig.ID {
--- a/internal/node/entry/bench_test.go
+++ b/internal/node/entry/bench_test.go
@@ -133,7 +133,7 @@
 				return
 			}
 			defer resp.Body.Close()
-			if resp.Header.Get(HeaderRan) == string(fault.Done) {
+			if resp.Header.Get(HeaderOutcome) == string(fault.Done) {
 				done.Add(1)
 			}
 		}()
--- a/internal/node/entry/calls.go
+++ b/internal/node/entry/calls.go
@@ -33,7 +33,7 @@
 		return
 	}
 	w.Header().Set(HeaderCallID, msg.ID)
-	w.Header().Set(HeaderRan, string(fault.Done))
+	w.Header().Set(HeaderOutcome, string(fault.Done))
 	w.Header().Set("Content-Type", "application/octet-stream")
 	w.Header().Set("Content-Length", strconv.Itoa(len(a.Body)))
 	w.WriteHeader(a.Status)
--- a/internal/node/entry/entry_test.go
+++ b/internal/node/entry/entry_test.go
@@ -370,7 +370,7 @@
 			resp, err := http.DefaultClient.Do(r)
 			if err == nil {
 				defer resp.Body.Close()
-				if resp.Header.Get(HeaderRan) != string(fault.Done) {
+				if resp.Header.Get(HeaderOutcome) != string(fault.Done) {
 					data, _ := io.ReadAll(resp.Body)
 					err = fmt.Errorf("status %d: %s", resp.StatusCode, data)
 				}
--- a/internal/node/entry/remote.go
+++ b/internal/node/entry/remote.go
@@ -213,7 +213,7 @@
 
 // servedPools returns the load of the pools that this host serves: those of the groups
 // for which it is the first live host in the order of preference.
-func (h *Host) servedPools() []wire.Pool {
+func (h *Host) servedPools() []wire.PoolLoad {
 	live := h.table.Live(h.clock.Now())
 	h.mu.Lock()
 	pools := make([]*route.Pool, 0, len(h.pools))
@@ -221,7 +221,7 @@
 		pools = append(pools, p)
 	}
 	h.mu.Unlock()
-	var list []wire.Pool
+	var list []wire.PoolLoad
 	for _, p := range pools {
 		load := p.Load()
 		if order := peers.PreferenceOrder(load.Group, load.Az, live); len(order) > 0 && order[0].ID == h.settings.Host.ID {
@@ -232,8 +232,8 @@
 }
 
 // Pools implements route.Forwarder. It returns the pools that live hosts report.
-func (h *Host) Pools() []wire.Pool {
-	var list []wire.Pool
+func (h *Host) Pools() []wire.PoolLoad {
+	var list []wire.PoolLoad
 	for _, m := range h.table.Live(h.clock.Now()) {
 		list = append(list, m.Pools...)
 	}
--- a/internal/node/entry/settings.go
+++ b/internal/node/entry/settings.go
@@ -44,9 +44,9 @@
 	} `ini:"timing"`
 
 	API struct {
-		MaxBody     int64         `ini:"maxBodyBytes" def:"1048576" min:"1024" max:"4194304" doc:"largest body of a request, in bytes"`
-		CallTimeout time.Duration `ini:"callTimeout" def:"10s" min:"10ms" max:"10m" doc:"for a call that names no timeout"`
-		OperatorKey string        `ini:"operatorKeyHash" doc:"SHA-256 of the operators' key in hexadecimal; empty admits operators from the loopback address only"`
+		MaxBody         int64         `ini:"maxBodyBytes" def:"1048576" min:"1024" max:"4194304" doc:"largest body of a request, in bytes"`
+		CallTimeout     time.Duration `ini:"callTimeout" def:"10s" min:"10ms" max:"10m" doc:"for a call that names no timeout"`
+		OperatorKeyHash string        `ini:"operatorKeyHash" doc:"SHA-256 of the operators' key in hexadecimal; empty admits operators from the loopback address only"`
 	} `ini:"api"`
 
 	Logs struct {
--- a/internal/node/lead/play_test.go
+++ b/internal/node/lead/play_test.go
@@ -264,7 +264,7 @@
 		if sim.disabled == noIncarnationCheck {
 			incarnation = 1
 		}
-		o.clocks[info.ID] = [3]int64{h.Clock, sim.nowMs, h.Incarnation}
+		o.clocks[info.ID] = [3]int64{h.ClockMs, sim.nowMs, h.Incarnation}
 		o.planner.ApplyReport(info.ID, sched.WorkerReport{SentMs: sim.nowMs, Incarnation: incarnation, Running: h.Running, Finished: h.Finished}, sim.now())
 	}
 }
--- a/internal/node/lead/worker.go
+++ b/internal/node/lead/worker.go
@@ -265,7 +265,7 @@
 		}
 		return false, err
 	}
-	o.workerClocks[info.ID] = workerClock{ms: h.Clock, readAt: readAt, incarnation: h.Incarnation}
+	o.workerClocks[info.ID] = workerClock{ms: h.ClockMs, readAt: readAt, incarnation: h.Incarnation}
 	lastApplied := o.planner.AppliedSeq(info.ID)
 	o.planner.ApplyReport(info.ID, sched.WorkerReport{SentMs: sent.Ms, Incarnation: h.Incarnation, Running: h.Running, Finished: h.Finished}, o.now())
 	o.logEnds(info.ID, lastApplied, h.Finished)
--- a/internal/node/owner/group.go
+++ b/internal/node/owner/group.go
@@ -159,14 +159,14 @@
 
 // Stats counts the operations of a group on this host.
 type Stats struct {
-	Commits      int64 `json:"commits"`
-	Records      int64 `json:"records"`
-	Starts       int64 `json:"starts"`
-	Takeovers    int64 `json:"takeovers"` // claims by this host
-	Fenced       int64 `json:"fenced"`    // losses of ownership without a release
-	UnsureStarts int64 `json:"unsureStarts"`
-	Preempted    int64 `json:"evicted"`    // batch tasks stopped for urgent tasks
-	Rebalanced   int64 `json:"rebalanced"` // stop requests for teams below their fair share
+	Commits           int64 `json:"commits"`
+	Records           int64 `json:"records"`
+	Starts            int64 `json:"starts"`
+	Takeovers         int64 `json:"takeovers"` // claims by this host
+	Fenced            int64 `json:"fenced"`    // losses of ownership without a release
+	UnconfirmedStarts int64 `json:"unsureStarts"`
+	Preempted         int64 `json:"evicted"`    // batch tasks stopped for urgent tasks
+	Rebalanced        int64 `json:"rebalanced"` // stop requests for teams below their fair share
 }
 
 // proposal is a set of records that are committed atomically.
@@ -252,7 +252,7 @@
 	}
 	d := wire.GroupInfo{Group: g.cfg.Name, Epoch: g.epoch, Az: g.cfg.Az, Used: map[string]jobs.Size{}}
 	d.Capacity = g.allocations.Capacity()
-	d.Free, d.Largest = g.allocations.Free()
+	d.Free, d.LargestFree = g.allocations.Free()
 	for team, used := range g.state.Used {
 		d.Used[team] = used
 	}
--- a/internal/node/owner/place.go
+++ b/internal/node/owner/place.go
@@ -28,11 +28,11 @@
 
 // placement is the placing of one queue item, in progress.
 type placement struct {
-	epoch      uint64 // epoch in which the placement began
-	item       queue.Item
-	tasks      []jobs.Ref
-	requests   []alloc.ReserveRequest
-	placements []jobs.Placement // group and worker of each attempt
+	epoch    uint64 // epoch in which the placement began
+	item     queue.Item
+	tasks    []jobs.Ref
+	requests []alloc.ReserveRequest
+	chosen   []jobs.Placement // group and worker of each attempt
 }
 
 // schedule places waiting items in one pass over the queue. It does nothing while
@@ -221,7 +221,7 @@
 	if !ok {
 		return false
 	}
-	pl.placements = toPlacements(g.cfg.Name, slots)
+	pl.chosen = toPlacements(g.cfg.Name, slots)
 	return true
 }
 
@@ -280,7 +280,7 @@
 	records := make([]group.Record, len(pl.tasks))
 	for i, ref := range pl.tasks {
 		records[i] = group.Record{Start: &group.Start{
-			Ref: ref, Attempt: pl.requests[i].Attempt.Number, Placement: pl.placements[i], AtMs: g.nowMs(),
+			Ref: ref, Attempt: pl.requests[i].Attempt.Number, Placement: pl.chosen[i], AtMs: g.nowMs(),
 		}}
 	}
 	err := g.propose(proposal{records: records, done: func(err error) { g.startsCommitted(pl, err) }})
@@ -379,7 +379,7 @@
 		})
 		cancel()
 		if err == nil && len(a.Slots) == len(pl.requests) {
-			pl.placements = toPlacements(d.Group, a.Slots)
+			pl.chosen = toPlacements(d.Group, a.Slots)
 			return true
 		}
 		if err != nil && fault.OutcomeOf(err) == fault.Unknown {
@@ -399,7 +399,7 @@
 		if cell.AzOutOfService(d.Az) || it.Az != "" && it.Az != d.Az {
 			continue
 		}
-		if it.Size.FitsIn(d.Largest) && it.Total().FitsIn(d.Free) {
+		if it.Size.FitsIn(d.LargestFree) && it.Total().FitsIn(d.Free) {
 			list = append(list, d)
 		}
 	}
--- a/internal/node/owner/renew.go
+++ b/internal/node/owner/renew.go
@@ -183,7 +183,7 @@
 	if lr.lost {
 		g.logger.Info("worker answers again", "worker", lr.host.ID)
 	}
-	if inv.Same && inv.Boot != lr.boot {
+	if inv.Unchanged && inv.Boot != lr.boot {
 		lr.version = 0 // the restarted worker reached the same version by chance; request the full inventory
 		return
 	}
@@ -233,10 +233,10 @@
 }
 
 // reportedAttempts converts a worker's inventory for the capacity records. An
-// inventory marked Same equals the last one without the attempts in deleted, which
+// inventory marked Unchanged equals the last one without the attempts in deleted, which
 // the worker has deleted because the renewal listed their ends as recorded.
 func reportedAttempts(inv worker.Inventory, last []alloc.ReportedAttempt, deleted []alloc.Attempt) []alloc.ReportedAttempt {
-	if inv.Same {
+	if inv.Unchanged {
 		return slices.DeleteFunc(slices.Clone(last), func(s alloc.ReportedAttempt) bool { return slices.Contains(deleted, s.Attempt) })
 	}
 	var list []alloc.ReportedAttempt
--- a/internal/node/owner/workers.go
+++ b/internal/node/owner/workers.go
@@ -74,7 +74,7 @@
 		return wire.StartAnswer{Status: alloc.StatusAbsent}, nil
 	}
 	g.allocations.StartUnconfirmed(msg.Attempt)
-	g.stats.UnsureStarts++
+	g.stats.UnconfirmedStarts++
 	return wire.StartAnswer{Status: alloc.StatusUnknown}, nil
 }
 
--- a/internal/node/route/pool.go
+++ b/internal/node/route/pool.go
@@ -104,10 +104,10 @@
 
 // Load returns the slots, calls in progress and queue length of the pool, which gossip
 // reports to peers.
-func (p *Pool) Load() wire.Pool {
+func (p *Pool) Load() wire.PoolLoad {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	load := wire.Pool{Group: p.cfg.Group, Az: p.cfg.Az, Service: p.cfg.Service, Busy: p.busy, Queued: len(p.queue)}
+	load := wire.PoolLoad{Group: p.cfg.Group, Az: p.cfg.Az, Service: p.cfg.Service, Busy: p.busy, Queued: len(p.queue)}
 	load.Slots = p.slots()
 	return load
 }
--- a/internal/node/route/route.go
+++ b/internal/node/route/route.go
@@ -15,7 +15,7 @@
 	// msg.Service.
 	Serve(ctx context.Context, msg wire.CallMsg) (wire.CallAnswer, error)
 	// Pools returns the pools of all live hosts with their last reported load.
-	Pools() []wire.Pool
+	Pools() []wire.PoolLoad
 }
 
 // RouterConfig describes a Router.
@@ -37,10 +37,10 @@
 
 // RouterStats holds the counters of a Router.
 type RouterStats struct {
-	Calls   int64 `json:"calls"`
-	Retries int64 `json:"retries"`
-	Denied  int64 `json:"retriesDenied"` // retries that the budget did not allow
-	Unknown int64 `json:"unknown"`       // attempts with an unknown outcome
+	Calls           int64 `json:"calls"`
+	Retries         int64 `json:"retries"`
+	RetriesDenied   int64 `json:"retriesDenied"` // retries that the budget did not allow
+	UnknownOutcomes int64 `json:"unknown"`       // attempts with an unknown outcome
 }
 
 // Retry limits and pool selection.
@@ -120,7 +120,7 @@
 	defer r.mu.Unlock()
 	r.inFlight[msg.Group]--
 	if err != nil && fault.OutcomeOf(err) == fault.Unknown {
-		r.stats.Unknown++
+		r.stats.UnknownOutcomes++
 	}
 	return a, err
 }
@@ -128,8 +128,8 @@
 // pick draws two pools of the service at random, possibly the same one twice, and
 // returns the less loaded one. Pools of groups in tried are considered only if there are
 // no others.
-func (r *Router) pick(service string, tried map[string]bool) (best wire.Pool, ok bool) {
-	var candidates, alreadyTried []wire.Pool
+func (r *Router) pick(service string, tried map[string]bool) (best wire.PoolLoad, ok bool) {
+	var candidates, alreadyTried []wire.PoolLoad
 	for _, p := range r.cfg.Forwarder.Pools() {
 		switch {
 		case p.Service != service || p.Slots == 0:
@@ -143,7 +143,7 @@
 		candidates = alreadyTried
 	}
 	if len(candidates) == 0 {
-		return wire.Pool{}, false
+		return wire.PoolLoad{}, false
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -158,7 +158,7 @@
 // It uses the larger of the load that gossip reported and the calls in flight from
 // this router to the group, of any service, because the reported load may be out of
 // date.
-func (r *Router) load(p wire.Pool) float64 {
+func (r *Router) load(p wire.PoolLoad) float64 {
 	load := float64(max(p.Busy+p.Queued, r.inFlight[p.Group])) / float64(p.Slots)
 	if p.Az != r.cfg.Az {
 		load += remoteAzPenalty
@@ -179,7 +179,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.budget < 1 {
-		r.stats.Denied++
+		r.stats.RetriesDenied++
 		return false
 	}
 	r.budget--
--- a/internal/node/route/route_test.go
+++ b/internal/node/route/route_test.go
@@ -174,12 +174,12 @@
 
 // fakeForwarder is a Forwarder that returns the next error of a list for each attempt.
 type fakeForwarder struct {
-	pools []wire.Pool
+	pools []wire.PoolLoad
 	errs  []error
 	sent  []wire.CallMsg
 }
 
-func (f *fakeForwarder) Pools() []wire.Pool { return f.pools }
+func (f *fakeForwarder) Pools() []wire.PoolLoad { return f.pools }
 
 func (f *fakeForwarder) Serve(_ context.Context, msg wire.CallMsg) (wire.CallAnswer, error) {
 	f.sent = append(f.sent, msg)
@@ -202,7 +202,7 @@
 		idempotent := rapid.Bool().Draw(t, "idempotent")
 		s := &fakeForwarder{errs: errs}
 		for _, g := range []string{"a", "b", "c"} {
-			s.pools = append(s.pools, wire.Pool{Group: g, Service: "s", Slots: 1})
+			s.pools = append(s.pools, wire.PoolLoad{Group: g, Service: "s", Slots: 1})
 		}
 		r := NewRouter(RouterConfig{Forwarder: s, Rand: rand.New(rand.NewPCG(1, rapid.Uint64().Draw(t, "seed")))})
 		_, err := r.Call(context.Background(), wire.CallMsg{Service: "s", ID: "c", Idempotent: idempotent})
@@ -225,7 +225,7 @@
 
 // TestRetryBudget checks that the number of retries is limited by the budget.
 func TestRetryBudget(t *testing.T) {
-	s := &fakeForwarder{pools: []wire.Pool{{Group: "a", Service: "s", Slots: 1}}}
+	s := &fakeForwarder{pools: []wire.PoolLoad{{Group: "a", Service: "s", Slots: 1}}}
 	for range 10_000 {
 		s.errs = append(s.errs, fault.New(fault.Unavailable, fault.NotRun, "down"))
 	}
--- a/internal/node/wire/wire.go
+++ b/internal/node/wire/wire.go
@@ -70,7 +70,7 @@
 	Version uint64      `json:"version"` // of this description; higher after each change within the incarnation
 	Leaving bool        `json:"leaving"` // the host is shutting down
 	Groups  []GroupInfo `json:"groups"`
-	Pools   []Pool      `json:"pools"` // pools that this member serves
+	Pools   []PoolLoad  `json:"pools"` // pools that this member serves
 }
 
 // Newer reports whether m is a later description than o.
@@ -80,19 +80,19 @@
 
 // GroupInfo describes a group that a member owns.
 type GroupInfo struct {
-	Group      string               `json:"group"`
-	Epoch      uint64               `json:"epoch"`
-	Az         string               `json:"az"`
-	Capacity   jobs.Size            `json:"capacity"` // of all workers that are not leaving
-	Free       jobs.Size            `json:"free"`     // of all schedulable workers
-	Largest    jobs.Size            `json:"largest"`  // per dimension, the largest free capacity of any worker
-	Used       map[string]jobs.Size `json:"used"`     // team -> size of the placed tasks of the group's own jobs
-	Requesting []string             `json:"wanting"`  // teams that request a larger grant in this group
-	Queued     map[string]jobs.Size `json:"waiting"`  // team -> size of the queued work
-}
-
-// Pool is the reported load of the pool of one service's targets in one group.
-type Pool struct {
+	Group       string               `json:"group"`
+	Epoch       uint64               `json:"epoch"`
+	Az          string               `json:"az"`
+	Capacity    jobs.Size            `json:"capacity"` // of all workers that are not leaving
+	Free        jobs.Size            `json:"free"`     // of all schedulable workers
+	LargestFree jobs.Size            `json:"largest"`  // per dimension, the largest free capacity of any worker
+	Used        map[string]jobs.Size `json:"used"`     // team -> size of the placed tasks of the group's own jobs
+	Requesting  []string             `json:"wanting"`  // teams that request a larger grant in this group
+	Queued      map[string]jobs.Size `json:"waiting"`  // team -> size of the queued work
+}
+
+// PoolLoad is the reported load of the pool of one service's targets in one group.
+type PoolLoad struct {
 	Group   string `json:"group"`
 	Az      string `json:"az"`
 	Service string `json:"service"`
--- a/internal/plat/fakes/simfleet.go
+++ b/internal/plat/fakes/simfleet.go
@@ -502,7 +502,7 @@
 	}
 	w.renew(r.LeaseEnd, nowMs)
 	f.acknowledge(w, r.Seen)
-	h := ports.HeartbeatResponse{Clock: w.clock(nowMs), Incarnation: w.info.Incarnation}
+	h := ports.HeartbeatResponse{ClockMs: w.clock(nowMs), Incarnation: w.info.Incarnation}
 	for task, run := range w.runs {
 		h.Running = append(h.Running, sched.Running{Task: task, Run: run.number, Percent: 100})
 	}
--- a/internal/plat/fakes/worker.go
+++ b/internal/plat/fakes/worker.go
@@ -383,7 +383,7 @@
 		inv, next := w.inventory()
 		if inv.Version != req.Since || changed == nil { // changed is nil after the deadline
 			if req.Since > 0 && inv.Version == req.Since {
-				inv = worker.Inventory{Same: true, Boot: inv.Boot, Version: inv.Version}
+				inv = worker.Inventory{Unchanged: true, Boot: inv.Boot, Version: inv.Version}
 			}
 			httpd.WriteJSON(rw, inv)
 			return
--- a/internal/plat/ports/ports.go
+++ b/internal/plat/ports/ports.go
@@ -173,7 +173,7 @@
 
 // HeartbeatResponse lists the running and the unacknowledged finished runs of a worker.
 type HeartbeatResponse struct {
-	Clock       int64 // time of the worker's clock, in milliseconds
+	ClockMs     int64 // time of the worker's clock, in milliseconds
 	Incarnation int64 // start time of the incarnation, in milliseconds since 1970
 	Running     []sched.Running
 	Finished    []sched.Finished
@@ -230,8 +230,8 @@
 
 // Limits holds the limits of HTTP requests from callers.
 type Limits struct {
-	BodyBytes   int64 // maximum size of a body
-	HeaderBytes int   // maximum size of the headers
-	HeaderMs    int64 // timeout for reading the headers
-	IdleMs      int64 // timeout of idle connections
+	BodyBytes       int64 // maximum size of a body
+	HeaderBytes     int   // maximum size of the headers
+	HeaderTimeoutMs int64 // timeout for reading the headers
+	IdleTimeoutMs   int64 // timeout of idle connections
 }
--- a/internal/plat/worker/worker.go
+++ b/internal/plat/worker/worker.go
@@ -105,13 +105,13 @@
 }
 
 // Inventory is the complete state of a worker's tasks. If nothing has changed
-// since RenewRequest.Since, the worker may set Same and omit the lists.
+// since RenewRequest.Since, the worker may set Unchanged and omit the lists.
 type Inventory struct {
-	Same     bool       `json:"same,omitempty"` // nothing has changed since RenewRequest.Since, apart from the attempts dropped by this request
-	Boot     int64      `json:"boot"`           // changes whenever the worker loses its state
-	Version  uint64     `json:"version"`
-	Running  []Running  `json:"running,omitempty"`
-	Finished []Finished `json:"finished,omitempty"`
+	Unchanged bool       `json:"same,omitempty"` // nothing has changed since RenewRequest.Since, apart from the attempts dropped by this request
+	Boot      int64      `json:"boot"`           // changes whenever the worker loses its state
+	Version   uint64     `json:"version"`
+	Running   []Running  `json:"running,omitempty"`
+	Finished  []Finished `json:"finished,omitempty"`
 }
 
 // StopRequest stops an attempt. With Checkpoint, the worker saves a checkpoint.
--- a/internal/tool/caller/caller.go
+++ b/internal/tool/caller/caller.go
@@ -184,7 +184,7 @@
 	if err != nil {
 		return a, fault.New(fault.BadResponse, fault.Unknown, "response body is incomplete: %v", err)
 	}
-	if resp.Header.Get(entry.HeaderRan) != string(fault.Done) {
+	if resp.Header.Get(entry.HeaderOutcome) != string(fault.Done) {
 		return a, httpd.DecodeProblem(resp.StatusCode, body)
 	}
 	return Answer{Status: resp.StatusCode, Body: body}, nil
--- a/internal/tool/demo/run.go
+++ b/internal/tool/demo/run.go
@@ -318,7 +318,7 @@
 // log through the offset. Other entry hosts refuse requests.
 func (r *run) inForce(offset int64) bool {
 	for _, s := range r.c.slots {
-		if h := s.current(); h != nil && h.Ready() == nil && h.Dump().CellNext <= offset {
+		if h := s.current(); h != nil && h.Ready() == nil && h.Dump().ConfigNext <= offset {
 			return false
 		}
 	}
@@ -334,7 +334,7 @@
 			if h == nil || h.Ready() != nil {
 				continue
 			}
-			next := h.Dump().CellNext
+			next := h.Dump().ConfigNext
 			if next < newest[s] {
 				r.record(func(hist *judge.History) {
 					hist.Reverted = append(hist.Reverted, fmt.Sprintf("entry host %d went back from configuration offset %d to %d", i, newest[s], next))
--- a/internal/tool/gauge/pure.go
+++ b/internal/tool/gauge/pure.go
@@ -206,7 +206,7 @@
 	if err != nil {
 		panic(err) // plain structs
 	}
-	data, err := json.Marshal(worker.Inventory{Same: true, Boot: 1796363709761, Version: 1000})
+	data, err := json.Marshal(worker.Inventory{Unchanged: true, Boot: 1796363709761, Version: 1000})
 	if err != nil {
 		panic(err) // plain structs
 	}
@@ -250,7 +250,7 @@
 		}
 		return float64(len(mustEncode(wire.Member{
 			ID: "e01", Addr: "10.0.0.1:7400", API: "http://10.0.0.1:7300", Az: "az1", Boot: 1796363709761, Version: 1000,
-			Groups: []wire.GroupInfo{d}, Pools: []wire.Pool{{Group: "az1-0", Az: "az1", Service: "triage", Slots: 64, Busy: 20}},
+			Groups: []wire.GroupInfo{d}, Pools: []wire.PoolLoad{{Group: "az1-0", Az: "az1", Service: "triage", Slots: 64, Busy: 20}},
 		})))
 	}))
 }
