--- a/cmd/lagooncourse/path_test.go
+++ b/cmd/lagooncourse/path_test.go
@@ -281,12 +281,12 @@
 func TestLogOutage(t *testing.T) {
 	c, w := startLoaded(t, 5)
 	w.waitForCalls(c, 100)
-	c.setSwitch(c.log, fakes.LogSwitch{Outage: true})
+	c.setSwitch(c.log, fakes.LogFaults{Outage: true})
 	w.waitForCalls(c, 4)
 	c.hosts[1].signal(t, syscall.SIGKILL)
 	_ = c.hosts[1].cmd.Wait()
 	w.waitForCalls(c, 4)
-	c.setSwitch(c.log, fakes.LogSwitch{})
+	c.setSwitch(c.log, fakes.LogFaults{})
 	c.startHost(c.hosts[1])
 	c.waitFor("every entry host is ready", c.ready)
 	w.waitForCalls(c, 100)
@@ -299,7 +299,7 @@
 	c, w := startLoaded(t, 5)
 	for range 5 {
 		w.waitForCalls(c, 50)
-		c.setSwitch(c.log, fakes.LogSwitch{LoseAnswers: 5, DropAppends: 3})
+		c.setSwitch(c.log, fakes.LogFaults{LoseAnswers: 5, DropAppends: 3})
 	}
 	w.stopAndCheck(c)
 }
@@ -342,7 +342,7 @@
 func TestFreezeAndKill(t *testing.T) {
 	c, w := startLoaded(t, 5)
 	w.waitForCalls(c, 100)
-	c.setSwitch(c.log, fakes.LogSwitch{LoseAnswers: 10, DropAppends: 5})
+	c.setSwitch(c.log, fakes.LogFaults{LoseAnswers: 10, DropAppends: 5})
 	c.hosts[0].signal(t, syscall.SIGSTOP)
 	c.hosts[1].signal(t, syscall.SIGKILL)
 	_ = c.hosts[1].cmd.Wait()
@@ -355,11 +355,11 @@
 	w.stopAndCheck(c)
 }
 
-// TestFrozenKeeper suspends an entry host for longer than the leases of the
+// TestFrozenOwner suspends an entry host for longer than the leases of the
 // workers that it renews, while their tasks keep running. After it resumes, its
 // last renewals are older than any lease. It must not declare the workers lost,
 // because another entry host has renewed their leases meanwhile.
-func TestFrozenKeeper(t *testing.T) {
+func TestFrozenOwner(t *testing.T) {
 	c := startCluster(t, clusterConfig{hosts: 3, workers: 12, executors: 6, workMs: 5, lease: "5s"})
 	key := c.createTeam("lab", largeLimit)
 	w := &workload{key: key, calls: map[string]error{}}
--- a/internal/cell/sched/advice.go
+++ b/internal/cell/sched/advice.go
@@ -36,11 +36,11 @@
 
 // AdviceRequest is a request to the advice service about one step instance.
 type AdviceRequest struct {
-	StepKey stepKey
-	Step    string // JOB.OCC.STEP
-	Workers []string
-	CostMs  float64 // expected response time
-	Host    string  // host that sends the request
+	StepKey    stepKey
+	Step       string // JOB.OCC.STEP
+	Workers    []string
+	ResponseMs float64 // expected response time
+	Host       string  // host that sends the request
 }
 
 // AdviceHosts are the hosts that can send advice requests. The service takes one
@@ -49,9 +49,9 @@
 type AdviceHosts interface {
 	// Available reports whether any host is free.
 	Available() bool
-	// Reserve reserves a host for a request that takes about costMs. The host is
+	// Acquire reserves a host for a request that takes about responseMs. The host is
 	// released after the reply.
-	Reserve(costMs float64) (host string, ok bool)
+	Acquire(responseMs float64) (host string, ok bool)
 }
 
 // usable reports whether the worker may run tasks of the step, capacity aside.
--- a/internal/cell/sched/batch.go
+++ b/internal/cell/sched/batch.go
@@ -25,9 +25,9 @@
 // up to 2 MB a call.
 const maxBatchBytes = 1 << 20
 
-// HasPending reports whether progress or accepted jobs have to be stored. It ignores
+// HasUnstored reports whether progress or accepted jobs have to be stored. It ignores
 // jobs whose retention has ended.
-func (p *Planner) HasPending() bool {
+func (p *Planner) HasUnstored() bool {
 	return len(p.dirty) > 0 || len(p.newSpecs) > 0
 }
 
--- a/internal/cell/sched/explain.go
+++ b/internal/cell/sched/explain.go
@@ -10,7 +10,7 @@
 type WaitReport struct {
 	Step       string
 	WaitMs     int64
-	Idle       int  // waiting tasks
+	Waiting    int  // waiting tasks
 	Unusable   int  // unregistered, not listed yet, unreachable, backing off, draining, quarantined, in a closed zone, of another pool or without the label
 	NoAdvice   int  // no advice about them
 	Denied     int  // denied by advice
@@ -43,7 +43,7 @@
 // out.
 func (p *Planner) explain(si *stepInstance, now Instant) WaitReport {
 	_, waiting := countTasks(si.tasks())
-	e := WaitReport{Step: si.stepName(), WaitMs: now.Ms - si.readyMs, Idle: waiting, Requested: si.advice.openRequests > 0}
+	e := WaitReport{Step: si.stepName(), WaitMs: now.Ms - si.readyMs, Waiting: waiting, Requested: si.advice.openRequests > 0}
 	e.OverLimit = len(p.withinLimit(si, make([]int, waiting))) < waiting
 	needsAdvice := p.queue(si).Advice != nil
 	for id, w := range p.workers {
--- a/internal/cell/sched/load_test.go
+++ b/internal/cell/sched/load_test.go
@@ -14,7 +14,7 @@
 type noHosts struct{}
 
 func (noHosts) Available() bool                { return false }
-func (noHosts) Reserve(float64) (string, bool) { return "", false }
+func (noHosts) Acquire(float64) (string, bool) { return "", false }
 
 // fleet returns a planner with n reachable workers of 32 cores.
 func fleet(n int, now Instant) *Planner {
@@ -157,16 +157,16 @@
 type allHosts struct{}
 
 func (allHosts) Available() bool                { return true }
-func (allHosts) Reserve(float64) (string, bool) { return "host", true }
+func (allHosts) Acquire(float64) (string, bool) { return "host", true }
 
 // backlog returns a planner with n waiting jobs of each kind: gangs, wide steps
 // and urgent jobs.
 func backlog(workers, n int, now Instant) *Planner {
 	p := fleet(workers, now)
 	p.SetPolicy(Policy{Queues: map[string]Queue{
-		"urgent": {Name: "urgent", Service: "s", MaxAttempts: 3, Slack: 2, TargetMs: 250, Advice: &AdviceCost{BaseMs: 7, WorkerMs: 0.1, ValidMs: 1500}},
-		"gang":   {Name: "gang", Service: "s", Priority: 1, MaxAttempts: 3, Slack: 2, TargetMs: 1000, Advice: &AdviceCost{BaseMs: 450, WorkerMs: 6.5, ValidMs: 1500}},
-		"wide":   {Name: "wide", Service: "s", Priority: 2, MaxAttempts: 3, Slack: 4, TargetMs: 3000, Advice: &AdviceCost{BaseMs: 100, WorkerMs: 1.4, ValidMs: 1500}},
+		"urgent": {Name: "urgent", Service: "s", MaxAttempts: 3, Slack: 2, TargetMs: 250, Advice: &AdviceTiming{BaseMs: 7, WorkerMs: 0.1, ValidMs: 1500}},
+		"gang":   {Name: "gang", Service: "s", Priority: 1, MaxAttempts: 3, Slack: 2, TargetMs: 1000, Advice: &AdviceTiming{BaseMs: 450, WorkerMs: 6.5, ValidMs: 1500}},
+		"wide":   {Name: "wide", Service: "s", Priority: 2, MaxAttempts: 3, Slack: 4, TargetMs: 3000, Advice: &AdviceTiming{BaseMs: 100, WorkerMs: 1.4, ValidMs: 1500}},
 	}})
 	for i := range n {
 		for queue, s := range map[string]Step{
--- a/internal/cell/sched/place.go
+++ b/internal/cell/sched/place.go
@@ -150,19 +150,19 @@
 	return !plan.noHostFree
 }
 
-// takeHost reserves a host for an advice request that takes about costMs.
-func (plan *Plan) takeHost(costMs float64) (host string, ok bool) {
+// takeHost reserves a host for an advice request that takes about responseMs.
+func (plan *Plan) takeHost(responseMs float64) (host string, ok bool) {
 	if !plan.hostFree() {
 		return "", false
 	}
-	return plan.hosts.Reserve(costMs)
+	return plan.hosts.Acquire(responseMs)
 }
 
 // addRequest adds an advice request that the given host sends.
 func (p *Planner) addRequest(si *stepInstance, ids []string, host string, plan *Plan) {
 	si.advice.openRequests++
 	plan.Requests = append(plan.Requests, AdviceRequest{
-		StepKey: si.key(), Step: si.stepName(), Workers: ids, CostMs: p.queue(si).Advice.responseMs(len(ids)), Host: host,
+		StepKey: si.key(), Step: si.stepName(), Workers: ids, ResponseMs: p.queue(si).Advice.responseMs(len(ids)), Host: host,
 	})
 }
 
--- a/internal/cell/sched/rules_test.go
+++ b/internal/cell/sched/rules_test.go
@@ -95,10 +95,10 @@
 	}
 }
 
-// Available and Reserve implement AdviceHosts.
+// Available and Acquire implement AdviceHosts.
 func (s *script) Available() bool { return s.freeHosts > 0 }
 
-func (s *script) Reserve(float64) (string, bool) {
+func (s *script) Acquire(float64) (string, bool) {
 	s.freeHosts--
 	return "host", s.freeHosts >= 0
 }
@@ -137,7 +137,7 @@
 	case "queue":
 		q := Queue{Name: f[1], Service: "s", Priority: int(num(a["prio"])), MaxAttempts: int(num(a["attempts"])), Slack: 2, TargetMs: 250}
 		if a["advice"] != "" {
-			q.Advice = &AdviceCost{BaseMs: float64(num(a["advice"])), WorkerMs: 1, ValidMs: 2_000}
+			q.Advice = &AdviceTiming{BaseMs: float64(num(a["advice"])), WorkerMs: 1, ValidMs: 2_000}
 		}
 		s.policy.Queues[f[1]] = q
 		s.p.SetPolicy(s.policy)
--- a/internal/cell/sched/types.go
+++ b/internal/cell/sched/types.go
@@ -92,28 +92,28 @@
 // Queue is the configuration of a queue.
 type Queue struct {
 	Name        string
-	Host        string      // host name of its requests
-	Prefix      string      // path prefix of its requests; the longest match applies
-	Service     string      // worker pool that runs its tasks
-	Public      bool        // no access key is required
-	Priority    int         // 0 is the highest
-	MaxAttempts int         // failed runs of one task after which its job fails
-	Slack       float64     // deadline = due time + Slack * run time of the critical path + TargetMs
-	TargetMs    int64       // target latency; see Slack
-	TimeoutMs   int64       // not used by the planner
-	Advice      *AdviceCost // nil if starts need no ticket
+	Host        string        // host name of its requests
+	Prefix      string        // path prefix of its requests; the longest match applies
+	Service     string        // worker pool that runs its tasks
+	Public      bool          // no access key is required
+	Priority    int           // 0 is the highest
+	MaxAttempts int           // failed runs of one task after which its job fails
+	Slack       float64       // deadline = due time + Slack * run time of the critical path + TargetMs
+	TargetMs    int64         // target latency; see Slack
+	TimeoutMs   int64         // not used by the planner
+	Advice      *AdviceTiming // nil if starts need no ticket
 }
 
-// AdviceCost describes how long a request to the advice service takes, and how
+// AdviceTiming describes how long a request to the advice service takes, and how
 // long its tickets are valid.
-type AdviceCost struct {
+type AdviceTiming struct {
 	BaseMs   float64 // for each request
 	WorkerMs float64 // for each worker in a request
 	ValidMs  int64   // validity of a ticket
 }
 
 // responseMs returns how long a request about n workers takes, in ms.
-func (a *AdviceCost) responseMs(n int) float64 { return a.BaseMs + a.WorkerMs*float64(n) }
+func (a *AdviceTiming) responseMs(n int) float64 { return a.BaseMs + a.WorkerMs*float64(n) }
 
 // WorkerInfo is the registry entry of a worker.
 type WorkerInfo struct {
--- a/internal/node/entry/bench_test.go
+++ b/internal/node/entry/bench_test.go
@@ -101,9 +101,9 @@
 			waitForMembership(c)
 			for b.Loop() {
 				before := successfulCalls(c, idempotent, "before")
-				c.log.Set(fakes.LogSwitch{Outage: true})
+				c.log.Set(fakes.LogFaults{Outage: true})
 				during := successfulCalls(c, idempotent, "during")
-				c.log.Set(fakes.LogSwitch{})
+				c.log.Set(fakes.LogFaults{})
 				b.ReportMetric(float64(before), "before")
 				b.ReportMetric(float64(during), "during")
 			}
--- a/internal/node/entry/entry_test.go
+++ b/internal/node/entry/entry_test.go
@@ -140,9 +140,9 @@
 		h.Kill()
 	}
 	c.hosts = nil
-	c.log.Set(fakes.LogSwitch{KeepLast: 2})
+	c.log.Set(fakes.LogFaults{KeepLast: 2})
 	assert.Assert(t, c.log.Records(config.Stream)[0].Offset > 0, "no records were deleted")
-	c.log.Set(fakes.LogSwitch{})
+	c.log.Set(fakes.LogFaults{})
 	h := c.start(0, "")
 	until(t, "the new host is ready", func() bool { return h.Ready() == nil })
 	until(t, "the host has restored the job", func() bool { return c.state(h, j.ID) == jobs.Done })
@@ -229,7 +229,7 @@
 	c.createTeam("lab", 8000)
 	j := c.submit(c.hosts[0], "lab", testSpec("survey", 60_000))
 	until(t, "the task runs", func() bool { return running(c) == 1 })
-	c.fleet.Set(fakes.WorkerSwitch{Worker: c.fleet.Runs()[0].Worker, Dead: true})
+	c.fleet.Set(fakes.WorkerFaults{Worker: c.fleet.Runs()[0].Worker, Dead: true})
 	until(t, "the task is parked", func() bool { return c.state(c.hosts[1], j.ID) == jobs.Parked })
 	assert.Equal(t, len(c.fleet.Runs()), 1)
 	req := SettleRequest{Task: string(j.ID) + "/0", Action: jobs.SettleDone}
@@ -250,7 +250,7 @@
 	spec.Idempotent = true
 	j := c.submit(c.hosts[0], "lab", spec)
 	until(t, "the task runs", func() bool { return running(c) == 1 })
-	c.fleet.Set(fakes.WorkerSwitch{Worker: c.fleet.Runs()[0].Worker, Paused: true})
+	c.fleet.Set(fakes.WorkerFaults{Worker: c.fleet.Runs()[0].Worker, Paused: true})
 	until(t, "the job is done", func() bool { return c.state(c.hosts[0], j.ID) == jobs.Done })
 	runs := c.fleet.Runs()
 	assert.Assert(t, len(runs) <= 2, "%d runs", len(runs))
@@ -281,7 +281,7 @@
 	holds("all hosts read the log: all are fresh", func() bool { return fresh(0) && fresh(1) && fresh(2) })
 
 	waitForMembership(c)
-	c.log.Set(fakes.LogSwitch{Outage: true})
+	c.log.Set(fakes.LogFaults{Outage: true})
 	until(t, "the configuration is older than freshFor", func() bool {
 		age, _ := c.hosts[0].follower.Age()
 		return age > time.Second
@@ -290,7 +290,7 @@
 
 	c.hosts[2].Kill()
 	until(t, "a host is dead while the log is down: the others are not fresh", func() bool { return !fresh(0) && !fresh(1) })
-	c.log.Set(fakes.LogSwitch{})
+	c.log.Set(fakes.LogFaults{})
 	holds("the log is available again: the others are fresh", func() bool { return fresh(0) && fresh(1) })
 }
 
@@ -359,7 +359,7 @@
 func TestStopFinishesCalls(t *testing.T) {
 	c := startTestCell(t, testCellConfig{hosts: 2, workers: 2})
 	c.createTeam("lab", 4000)
-	c.execs.Set(fakes.ExecSwitch{LateMs: 300})
+	c.execs.Set(fakes.ExecFaults{LateMs: 300})
 	const calls = 20
 	errs := make(chan error, calls)
 	for i := range calls {
--- a/internal/node/gate/advise.go
+++ b/internal/node/gate/advise.go
@@ -56,10 +56,10 @@
 // Available reports whether any host is free.
 func (d *adviceHosts) Available() bool { return len(d.available(false)) > 0 }
 
-// Reserve marks the last free host as busy. The last hosts serve only short requests,
+// Acquire marks the last free host as busy. The last hosts serve only short requests,
 // so a short request leaves the other hosts free for long ones.
-func (d *adviceHosts) Reserve(costMs float64) (string, bool) {
-	list := d.available(costMs > longRequestMs)
+func (d *adviceHosts) Acquire(responseMs float64) (string, bool) {
+	list := d.available(responseMs > longRequestMs)
 	if len(list) == 0 {
 		return "", false
 	}
@@ -81,7 +81,7 @@
 }
 
 // Advise sends a request through the host marked busy for it and releases that host.
-// The returned age assumes that the service took w.CostMs to answer. It is 0 for a
+// The returned age assumes that the service took w.ResponseMs to answer. It is 0 for a
 // request sent by this host.
 func (d *adviceHosts) Advise(ctx context.Context, w sched.AdviceRequest) (a ports.Advice, age time.Duration, err error) {
 	defer func() { d.release(w.Host, err == nil) }()
@@ -93,7 +93,7 @@
 	}
 	sent := h.clock.Now()
 	b, err := frame.Call(ctx, h.pool, w.Host, adviseMethod, msg)
-	sinceAnswer := h.clock.Now().Sub(sent) - time.Duration(w.CostMs)*time.Millisecond
+	sinceAnswer := h.clock.Now().Sub(sent) - time.Duration(w.ResponseMs)*time.Millisecond
 	return b.Advice, min(max(sinceAnswer, 0), maxAnswerAge), err
 }
 
--- a/internal/node/gate/claim.go
+++ b/internal/node/gate/claim.go
@@ -181,14 +181,14 @@
 }
 
 // claimLoop claims ownership when there is no live owner, and hands ownership over
-// to a host with much more CPU; see strongerPeer.
+// to a host with much more CPU; see morePowerfulPeer.
 func (h *Host) claimLoop(ctx context.Context) {
 	clock.Sleep(ctx, startupPingWait)
 	for ctx.Err() == nil {
 		if h.shouldClaimNow() {
 			h.tryClaim(ctx)
 		}
-		h.handOverToStronger(ctx)
+		h.handOverToMorePowerful(ctx)
 		clock.Sleep(ctx, claimCheckInterval)
 	}
 }
@@ -222,9 +222,9 @@
 // powerful host. It lets hosts that start together find each other first.
 const minOwnershipTime = 1500 * time.Millisecond
 
-// handOverToStronger hands ownership over to the host that strongerPeer returns, if
-// any.
-func (h *Host) handOverToStronger(ctx context.Context) {
+// handOverToMorePowerful hands ownership over to the host that morePowerfulPeer
+// returns, if any.
+func (h *Host) handOverToMorePowerful(ctx context.Context) {
 	h.mu.Lock()
 	now := h.clock.Now()
 	if h.localOwner == nil || h.leaving || now.Sub(h.ownerSince) < minOwnershipTime {
@@ -233,7 +233,7 @@
 	}
 	peers := h.peerList()
 	h.mu.Unlock()
-	if addr, ok := strongerPeer(h.cfg.CPUMillis, peers, now); ok {
+	if addr, ok := morePowerfulPeer(h.cfg.CPUMillis, peers, now); ok {
 		h.transferOwnership(ctx, []string{addr}, "handing over to a more powerful host")
 	}
 }
--- a/internal/node/gate/cluster_test.go
+++ b/internal/node/gate/cluster_test.go
@@ -107,7 +107,7 @@
 	}
 	config, err := json.Marshal(ports.ClusterConfig{
 		Version: 3, Queues: []sched.Queue{
-			{Name: "q", Host: "h.example", Prefix: "/q/", Service: "s", MaxAttempts: 3, Slack: 2, TargetMs: 500, Advice: &sched.AdviceCost{BaseMs: 1, ValidMs: 2000}},
+			{Name: "q", Host: "h.example", Prefix: "/q/", Service: "s", MaxAttempts: 3, Slack: 2, TargetMs: 500, Advice: &sched.AdviceTiming{BaseMs: 1, ValidMs: 2000}},
 		},
 		Teams: []ports.Team{{Name: "t", Keys: []string{"k"}, Weight: 100}},
 	})
--- a/internal/node/gate/peers.go
+++ b/internal/node/gate/peers.go
@@ -33,7 +33,7 @@
 	ownerContactWindow = 700 * time.Millisecond  // a peer's contact with the owner within this time prevents a claim
 	isolatedClaimDelay = 2500 * time.Millisecond // silence of the owner after which a host without contact to any peer may claim
 	silentPeerAge      = 60 * time.Second        // peers silent for longer are pinged less often
-	livePeerAge        = 900 * time.Millisecond  // maximum age of the last ping of a peer that counts in an election or in strongerPeer
+	livePeerAge        = 900 * time.Millisecond  // maximum age of the last ping of a peer that counts in an election or in morePowerfulPeer
 	startupPingWait    = 250 * time.Millisecond  // time to find the owner before the first claim
 )
 
@@ -154,10 +154,10 @@
 // handover to that host.
 const handoverCPURatio = 2
 
-// strongerPeer returns the peer with the most CPU, and whether the owner should hand
-// over to it. It considers only peers whose last ping is newer than livePeerAge, that
-// reach the store and that are not shutting down.
-func strongerPeer(ownerCPUMillis int64, peers []peer, now time.Time) (addr string, ok bool) {
+// morePowerfulPeer returns the peer with the most CPU, and whether the owner should
+// hand over to it. It considers only peers whose last ping is newer than
+// livePeerAge, that reach the store and that are not shutting down.
+func morePowerfulPeer(ownerCPUMillis int64, peers []peer, now time.Time) (addr string, ok bool) {
 	var best peer
 	for _, p := range peers {
 		if now.Sub(p.lastContact) < livePeerAge && !p.leaving && p.storeOK && (p.cpuMillis > best.cpuMillis || p.cpuMillis == best.cpuMillis && p.addr < best.addr) {
--- a/internal/node/gate/peers_test.go
+++ b/internal/node/gate/peers_test.go
@@ -50,10 +50,10 @@
 		{addr: "a", lastContact: now, cpuMillis: 800, storeOK: true}, {addr: "b", lastContact: now, cpuMillis: 900, storeOK: true, leaving: true},
 		{addr: "c", lastContact: now.Add(-time.Minute), cpuMillis: 900, storeOK: true}, {addr: "d", lastContact: now, cpuMillis: 900},
 	}
-	addr, ok := strongerPeer(192, peers, now)
+	addr, ok := morePowerfulPeer(192, peers, now)
 	assert.Assert(t, ok)
 	assert.Equal(t, addr, "a")
-	_, ok = strongerPeer(500, peers, now)
+	_, ok = morePowerfulPeer(500, peers, now)
 	assert.Assert(t, !ok, "less than twice as powerful")
 }
 
--- a/internal/node/lead/play_test.go
+++ b/internal/node/lead/simulation_test.go
@@ -273,7 +273,7 @@
 type unlimitedAdvice struct{}
 
 func (unlimitedAdvice) Available() bool                { return true }
-func (unlimitedAdvice) Reserve(float64) (string, bool) { return "d", true }
+func (unlimitedAdvice) Acquire(float64) (string, bool) { return "d", true }
 
 // injectFault triggers a takeover or a worker restart, or changes the network
 // faults.
@@ -337,9 +337,9 @@
 	}
 }
 
-// TestPlay checks that no invariant is violated and that every job ends under
+// TestSimulation checks that no invariant is violated and that every job ends under
 // random faults. The flag -play.seeds sets the number of seeds.
-func TestPlay(t *testing.T) {
+func TestSimulation(t *testing.T) {
 	for seed := int64(1); seed <= int64(*simSeeds); seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			sim := newSimulation(t, seed, noMutation)
@@ -358,9 +358,9 @@
 	}
 }
 
-// TestPlayFindsMutations checks that the simulation detects each disabled
+// TestSimulationDetectsMutations checks that the simulation detects each disabled
 // safeguard.
-func TestPlayFindsMutations(t *testing.T) {
+func TestSimulationDetectsMutations(t *testing.T) {
 	for name, m := range map[string]mutation{
 		"no fence": noFence, "no wait for a lease": noLeaseWait, "acknowledged before stored": ackBeforeStored, "incarnation not checked": noIncarnationCheck,
 	} {
--- a/internal/node/lead/store.go
+++ b/internal/node/lead/store.go
@@ -53,7 +53,7 @@
 	}
 	o.logWaiting(now)
 	o.dispatchStops()
-	return o.planner.HasPending() || len(o.submissions) > 0 || len(o.cancellations) > 0
+	return o.planner.HasUnstored() || len(o.submissions) > 0 || len(o.cancellations) > 0
 }
 
 // writeLoop runs a cycle on each wake-up and at least every idleAppendInterval.
@@ -162,7 +162,7 @@
 		o.lastWaitingLog = t
 	}
 	for _, e := range o.planner.ExplainWaiting(waitingAfterMs, maxWaitingLines, now) {
-		o.log.Info("still waiting", "step", e.Step, "waitMs", e.WaitMs, "idle", e.Idle, "unusable", e.Unusable, "unasked", e.NoAdvice,
+		o.log.Info("still waiting", "step", e.Step, "waitMs", e.WaitMs, "idle", e.Waiting, "unusable", e.Unusable, "unasked", e.NoAdvice,
 			"denied", e.Denied, "noRoom", e.NoCapacity, "noTicket", e.NoTicket, "slots", e.Slots, "overLimit", e.OverLimit, "asked", e.Requested, "kept", e.Reserved)
 	}
 }
@@ -296,7 +296,7 @@
 
 // requestAdvice requests advice and passes the answer to the planner.
 func (o *Owner) requestAdvice(req sched.AdviceRequest) {
-	ctx, cancel := context.WithTimeout(o.ctx, adviceExtraTimeout+time.Duration(2*req.CostMs)*time.Millisecond)
+	ctx, cancel := context.WithTimeout(o.ctx, adviceExtraTimeout+time.Duration(2*req.ResponseMs)*time.Millisecond)
 	defer cancel()
 	sent := o.cfg.Clock.Now()
 	a, age, err := o.cfg.AdviceClient.Advise(ctx, req)
@@ -306,7 +306,7 @@
 	o.mu.Unlock()
 	o.cfg.Metrics.countAdvice(err == nil)
 	o.log.Info("advice", "step", req.Step, "asked", len(req.Workers), "allowed", len(a.Tickets), "desk", req.Host,
-		"costMs", int(req.CostMs), "tookMs", o.cfg.Clock.Now().Sub(sent).Milliseconds(), "err", errText(err))
+		"costMs", int(req.ResponseMs), "tookMs", o.cfg.Clock.Now().Sub(sent).Milliseconds(), "err", errText(err))
 	o.wakePlanner()
 }
 
--- a/internal/plat/fakes/doc.go
+++ b/internal/plat/fakes/doc.go
@@ -13,7 +13,7 @@
 //
 //	log, err := fakes.StartLog(fakes.LogConfig{Addr: "127.0.0.1:0", AppendsPerSecond: 300})
 //	defer log.Close()
-//	log.Set(fakes.LogSwitch{Outage: true})
+//	log.Set(fakes.LogFaults{Outage: true})
 package fakes
 
 import (
--- a/internal/plat/fakes/exec.go
+++ b/internal/plat/fakes/exec.go
@@ -24,9 +24,9 @@
 	WorkMs  int64          // duration of a call in milliseconds
 }
 
-// ExecSwitch sets the injected faults of one executor, or of all if Target is
+// ExecFaults sets the injected faults of one executor, or of all if Target is
 // empty.
-type ExecSwitch struct {
+type ExecFaults struct {
 	Target  string      `json:"target"`
 	LateMs  int64       `json:"lateMs"`  // delay of every answer in milliseconds
 	Cross   bool        `json:"cross"`   // answers have the ID of the previous request
@@ -64,7 +64,7 @@
 	slots  chan struct{}
 
 	mu       sync.Mutex
-	sw       ExecSwitch
+	sw       ExecFaults
 	maxCalls int    // maximum of concurrent calls
 	refused  int    // calls refused because no slot was free
 	conns    int    // open connections
@@ -170,7 +170,7 @@
 
 // Set replaces the injected faults of the executor s.Target, or of all executors
 // if it is empty.
-func (e *Execs) Set(s ExecSwitch) {
+func (e *Execs) Set(s ExecFaults) {
 	for _, x := range e.execs {
 		if s.Target != "" && s.Target != x.info.ID {
 			continue
@@ -219,7 +219,7 @@
 
 // begin records the request ID and returns the injected faults and the previous
 // request ID.
-func (x *fakeExecutor) begin(id string) (ExecSwitch, string) {
+func (x *fakeExecutor) begin(id string) (ExecFaults, string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.maxCalls = max(x.maxCalls, len(x.slots))
@@ -243,7 +243,7 @@
 	return fmt.Appendf(nil, `{"number":%d,"echo":%s}`, e.callCount, strconv.Quote(string(body)))
 }
 
-func (x *fakeExecutor) reply(w http.ResponseWriter, r *http.Request, sw ExecSwitch, previous string, body []byte) {
+func (x *fakeExecutor) reply(w http.ResponseWriter, r *http.Request, sw ExecFaults, previous string, body []byte) {
 	if sw.LateMs > 0 {
 		sleepCtx(r.Context(), time.Duration(sw.LateMs)*time.Millisecond)
 	}
--- a/internal/plat/fakes/log.go
+++ b/internal/plat/fakes/log.go
@@ -23,8 +23,8 @@
 	Retention        time.Duration // records older than this expire; 0 keeps them
 }
 
-// LogSwitch sets the injected faults of a Log.
-type LogSwitch struct {
+// LogFaults sets the injected faults of a Log.
+type LogFaults struct {
 	Outage      bool  `json:"outage"`      // every request fails without an answer
 	SlowMs      int64 `json:"slowMs"`      // delay of every request in milliseconds
 	LoseAnswers int   `json:"loseAnswers"` // this many appends take effect but are not answered
@@ -49,7 +49,7 @@
 	ctx    context.Context
 
 	mu      sync.Mutex
-	sw      LogSwitch
+	sw      LogFaults
 	stats   LogStats
 	streams map[string]*logStream
 }
@@ -103,7 +103,7 @@
 }
 
 // Set replaces the injected faults.
-func (l *Log) Set(s LogSwitch) {
+func (l *Log) Set(s LogFaults) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.sw = s
--- a/internal/plat/fakes/worker.go
+++ b/internal/plat/fakes/worker.go
@@ -23,8 +23,8 @@
 	Workers []hosts.Worker // StartFleet sets the URLs
 }
 
-// WorkerSwitch sets the injected faults of one worker.
-type WorkerSwitch struct {
+// WorkerFaults sets the injected faults of one worker.
+type WorkerFaults struct {
 	Worker    string      `json:"worker"`
 	FailAll   bool        `json:"failAll"`   // every task fails right after its start
 	Paused    bool        `json:"paused"`    // requests block until this is unset; leases still expire
@@ -61,7 +61,7 @@
 	host hosts.Worker
 
 	mu          sync.Mutex
-	sw          WorkerSwitch
+	sw          WorkerFaults
 	token       worker.Token
 	leaseEnd    time.Time
 	lease       *time.Timer
@@ -161,7 +161,7 @@
 }
 
 // Set replaces the injected faults of one worker. It ignores an unknown worker.
-func (f *Fleet) Set(s WorkerSwitch) {
+func (f *Fleet) Set(s WorkerFaults) {
 	w := f.workers[s.Worker]
 	if w == nil {
 		return
--- a/internal/plat/target/target_test.go
+++ b/internal/plat/target/target_test.go
@@ -28,14 +28,14 @@
 func TestAnswers(t *testing.T) {
 	for _, tc := range []struct {
 		name string
-		sw   fakes.ExecSwitch
+		sw   fakes.ExecFaults
 		code fault.Code
 	}{
-		{"crossed", fakes.ExecSwitch{Cross: true}, fault.BadResponse},
-		{"cut", fakes.ExecSwitch{Cut: true}, fault.BadResponse},
-		{"corrupt", fakes.ExecSwitch{Corrupt: true}, fault.BadResponse},
-		{"hung up", fakes.ExecSwitch{HangUp: true}, fault.Unavailable},
-		{"late", fakes.ExecSwitch{LateMs: 500}, fault.Timeout},
+		{"crossed", fakes.ExecFaults{Cross: true}, fault.BadResponse},
+		{"cut", fakes.ExecFaults{Cut: true}, fault.BadResponse},
+		{"corrupt", fakes.ExecFaults{Corrupt: true}, fault.BadResponse},
+		{"hung up", fakes.ExecFaults{HangUp: true}, fault.Unavailable},
+		{"late", fakes.ExecFaults{LateMs: 500}, fault.Timeout},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			e, c := start(t, 4)
@@ -51,7 +51,7 @@
 			assert.Assert(t, fault.HasCode(err, tc.code), "%v", err)
 			assert.Equal(t, fault.OutcomeOf(err), fault.Unknown)
 			assert.Equal(t, len(a.Body), 0)
-			e.Set(fakes.ExecSwitch{})
+			e.Set(fakes.ExecFaults{})
 			a, err = call("after")
 			assert.NilError(t, err)
 			assert.Equal(t, string(a.Body), `{"number":3,"echo":"after"}`)
--- a/internal/tool/demo/run.go
+++ b/internal/tool/demo/run.go
@@ -147,19 +147,19 @@
 func (r *run) inject(ctx context.Context, f scene.Fault) {
 	switch f.Kind {
 	case scene.LogOut:
-		r.c.log.Set(fakes.LogSwitch{Outage: true})
+		r.c.log.Set(fakes.LogFaults{Outage: true})
 	case scene.LogBack:
-		r.c.log.Set(fakes.LogSwitch{})
+		r.c.log.Set(fakes.LogFaults{})
 	case scene.LogSlow:
-		r.c.log.Set(fakes.LogSwitch{SlowMs: int64(f.Count)})
+		r.c.log.Set(fakes.LogFaults{SlowMs: int64(f.Count)})
 	case scene.LoseAnswers:
-		r.c.log.Set(fakes.LogSwitch{LoseAnswers: f.Count})
+		r.c.log.Set(fakes.LogFaults{LoseAnswers: f.Count})
 	case scene.BadWorker:
-		r.c.fleet.Set(fakes.WorkerSwitch{Worker: f.Subject, FailAll: true})
+		r.c.fleet.Set(fakes.WorkerFaults{Worker: f.Subject, FailAll: true})
 	case scene.LoseWorker:
-		r.c.fleet.Set(fakes.WorkerSwitch{Worker: f.Subject, Dead: true})
+		r.c.fleet.Set(fakes.WorkerFaults{Worker: f.Subject, Dead: true})
 	case scene.MendWorker:
-		r.c.fleet.Set(fakes.WorkerSwitch{Worker: f.Subject})
+		r.c.fleet.Set(fakes.WorkerFaults{Worker: f.Subject})
 	case scene.AzOut, scene.AzBack:
 		r.changeAz(ctx, f)
 	case scene.WithdrawKey:
@@ -167,16 +167,16 @@
 	case scene.CancelWork:
 		r.generator.cancel(f.Subject)
 	case scene.LeaveTarget:
-		r.c.execs.Set(fakes.ExecSwitch{Target: f.Subject, State: hosts.Leaving})
+		r.c.execs.Set(fakes.ExecFaults{Target: f.Subject, State: hosts.Leaving})
 		r.record(func(hist *judge.History) {
 			hist.Leaving = append(hist.Leaving, judge.Interval{Name: f.Subject, StartMs: nowMs()})
 		})
 	case scene.CrossAnswer:
-		r.c.execs.Set(fakes.ExecSwitch{Target: f.Subject, Cross: true})
+		r.c.execs.Set(fakes.ExecFaults{Target: f.Subject, Cross: true})
 	case scene.CutAnswer:
-		r.c.execs.Set(fakes.ExecSwitch{Target: f.Subject, Cut: true})
+		r.c.execs.Set(fakes.ExecFaults{Target: f.Subject, Cut: true})
 	case scene.MendTarget:
-		r.c.execs.Set(fakes.ExecSwitch{Target: f.Subject})
+		r.c.execs.Set(fakes.ExecFaults{Target: f.Subject})
 	default:
 		r.injectHostFault(ctx, f)
 	}
--- a/internal/tool/gauge/pure.go
+++ b/internal/tool/gauge/pure.go
@@ -156,19 +156,19 @@
 // workers.
 func reserveTime() Slope {
 	return Fit("reserve room", "workers of a group", "ns", points([]int{20, 80, 320}, func(n int) float64 {
-		b := alloc.New()
+		al := alloc.New()
 		var list []alloc.Worker
 		for i := range n {
 			list = append(list, alloc.Worker{ID: fmt.Sprintf("w%04d", i), Capacity: jobs.Size{CPU: 64_000, Mem: 131_072}})
 		}
-		b.SetWorkers(list)
+		al.SetWorkers(list)
 		for _, w := range list {
-			b.ApplyInventory(w.ID, alloc.Inventory{})
+			al.ApplyInventory(w.ID, alloc.Inventory{})
 		}
 		return timePerCall(func(i int) {
 			at := alloc.Attempt{Task: fmt.Sprint(i), Number: 1}
-			b.Reserve(alloc.ReserveRequest{Attempt: at, Kind: jobs.Batch, Size: jobs.Size{CPU: 2000, Mem: 4096}}, 0)
-			b.Cancel(at)
+			al.Reserve(alloc.ReserveRequest{Attempt: at, Kind: jobs.Batch, Size: jobs.Size{CPU: 2000, Mem: 4096}}, 0)
+			al.Cancel(at)
 		})
 	}))
 }
@@ -220,8 +220,8 @@
 		if err != nil {
 			panic(err) // plain structs
 		}
-		b := alloc.New()
-		b.SetWorkers([]alloc.Worker{{ID: "w", Capacity: jobs.Size{CPU: 64_000, Mem: 131_072}}})
+		al := alloc.New()
+		al.SetWorkers([]alloc.Worker{{ID: "w", Capacity: jobs.Size{CPU: 64_000, Mem: 131_072}}})
 		return timePerCall(func(int) {
 			var inv worker.Inventory
 			if err := json.Unmarshal(data, &inv); err != nil {
@@ -234,7 +234,7 @@
 					Kind: jobs.Kind(r.Class), Size: jobs.Size{CPU: r.CPU, Mem: r.Mem},
 				})
 			}
-			b.ApplyInventory("w", in)
+			al.ApplyInventory("w", in)
 		})
 	}))
 }
