--- a/internal/tool/cmds/docs_test.go
+++ b/cmd/lagooncourse/docs_test.go
@@ -1,4 +1,4 @@
-package cmds
+package main
 
 import (
 	"fmt"
@@ -15,7 +15,7 @@
 )
 
 // repoRoot is the root of the repository, seen from the folder of this package.
-const repoRoot = "../../.."
+const repoRoot = "../.."
 
 // docPages are the pages that name things by their present names, as patterns
 // relative to repoRoot. Design notes, incidents and the journal are records, which
@@ -42,8 +42,9 @@
 }
 
 // TestDocNames checks that the tests, Go identifiers and paths named in the
-// documents exist. The go command caches a result without regard to files outside
-// this module, so run it with -count=1 after a change of a page.
+// documents exist. It is in a package of the root module because the go command
+// ignores files outside a test's module when it decides whether to use a cached
+// result, and the pages belong to the root module.
 func TestDocNames(t *testing.T) {
 	names := readSourceNames(t)
 	pages := 0
