--- a/internal/tool/demo/cell.go
+++ b/internal/tool/demo/cell.go
@@ -1,6 +1,6 @@
-// Package demo runs a scenario in one process: the platform's stand-ins, the
-// entry hosts, a load generator and fault injection, all connected by loopback
-// sockets. It reports the measurements of the run and a verdict on each
+// Package demo runs a scenario in one process: stand-ins for the platform's
+// services, the entry hosts, a load generator and fault injection, all connected
+// by loopback sockets. It reports the measurements of the run and a verdict on each
 // guarantee.
 //
 // # Usage
@@ -41,7 +41,8 @@
 	Policy   queue.Policy // nil means queue.Fair
 }
 
-// cell is a running cell: the platform's stand-ins and the entry hosts.
+// cell is a running cell: the stand-ins for the platform's services and the entry
+// hosts.
 type cell struct {
 	scenario scene.Scenario
 	log      *fakes.Log
@@ -59,7 +60,7 @@
 	mu      sync.Mutex
 	host    *entry.Host // nil while the entry host is down
 	ready   atomic.Bool
-	earlier peerBytes // by earlier entry hosts in this slot
+	earlier peerBytes // sent by earlier entry hosts in this slot
 }
 
 // faultyLog is one entry host's log client, with an injectable network partition.
@@ -70,6 +71,7 @@
 
 const partitionDelay = 500 * time.Millisecond
 
+// checkPartition returns an error after partitionDelay if the log is partitioned.
 func (f *faultyLog) checkPartition(ctx context.Context) error {
 	if !f.partitioned.Load() {
 		return nil
@@ -129,11 +131,11 @@
 }
 
 func (c *cell) startHosts(cfg Config) error {
-	var first string
+	var previous string // peer address of the entry host started before
 	for i := range c.scenario.Cell.Hosts {
 		text := fmt.Sprintf("[host]\nid = e%d\naz = %s\nlisten = 127.0.0.1:0\npeer = 127.0.0.1:1\npeers = %s\n"+
 			"[platform]\nlog = %s\nhostLists = %s, %s\n[timing]\nrenew = 1s\nlease = 4s\nmargin = 500ms\n",
-			i, c.scenario.Cell.Azs[i%len(c.scenario.Cell.Azs)], first, c.log.URL(), c.fleet.URL(), c.execs.URL())
+			i, c.scenario.Cell.Azs[i%len(c.scenario.Cell.Azs)], previous, c.log.URL(), c.fleet.URL(), c.execs.URL())
 		set, err := conf.Parse[entry.Settings]([]byte(text))
 		if err != nil {
 			return err
@@ -145,7 +147,7 @@
 		if err := s.start(cfg.Logger); err != nil {
 			return err
 		}
-		first = s.host.Peer()
+		previous = s.host.Peer()
 	}
 	return nil
 }
--- a/internal/tool/demo/load.go
+++ b/internal/tool/demo/load.go
@@ -64,8 +64,8 @@
 	l.wg.Wait()
 }
 
-// generate calls fn up to maxCount times, from the given offset on, at
-// exponentially distributed intervals. The sequence of intervals depends only on
+// generate calls fn up to maxCount times at exponentially distributed intervals,
+// beginning startAfter after the start of the run. The sequence of intervals depends only on
 // the scenario's seed.
 func (l *generator) generate(ctx context.Context, salt uint64, meanInterval, startAfter time.Duration, maxCount int, fn func(*rand.Rand, int)) {
 	r := rand.New(rand.NewPCG(uint64(l.c.scenario.Cell.Seed), salt))
@@ -95,14 +95,15 @@
 	maxRunTimeFactor = 3   // longest run time, as a multiple of the mean
 )
 
-// runTime draws a heavy-tailed run time with the given mean.
+// runTime draws a log-normal run time around the given mean, at most
+// maxRunTimeFactor times as long.
 func runTime(r *rand.Rand, mean time.Duration) time.Duration {
 	f := math.Exp(r.NormFloat64()*runTimeSigma - runTimeSigma*runTimeSigma/2)
 	return time.Duration(min(f, maxRunTimeFactor) * float64(mean))
 }
 
 const (
-	submitTimeout = 15 * time.Second // for all attempts to submit a job
+	submitTimeout = 15 * time.Second // for all attempts to submit a job, and for listing jobs to cancel
 	retryDelay    = 200 * time.Millisecond
 )
 
--- a/internal/tool/demo/report.go
+++ b/internal/tool/demo/report.go
@@ -25,8 +25,8 @@
 	Calls          map[string]int  `json:"calls"` // outcome -> number
 	Refused        int             `json:"refusedJobs"`
 	Starts         int             `json:"taskStarts"`
-	WaitMs         []Quantiles     `json:"waitMs"` // by kind
-	CallMs         []Quantiles     `json:"callMs"`
+	WaitMs         []Quantiles     `json:"waitMs"`  // by kind
+	CallMs         []Quantiles     `json:"callMs"`  // idempotent and at-most-once calls
 	Packing        float64         `json:"packing"` // fraction of the CPU capacity in use while load was generated
 	Appends        float64         `json:"appendsPerS"`
 	Control        float64         `json:"controlBytesPerS"` // sent by each entry host for membership and configuration
@@ -218,19 +218,19 @@
 			continue
 		}
 		full++
-		var claims []queue.TeamDemand
+		var teamDemands []queue.TeamDemand
 		for team, w := range weights {
 			limit := float64(h.Limits[team].CPU)
-			claims = append(claims, queue.TeamDemand{Team: team, Weight: w, Demand: min(wants[team], limit) / total})
+			teamDemands = append(teamDemands, queue.TeamDemand{Team: team, Weight: w, Demand: min(wants[team], limit) / total})
 		}
-		fair := queue.FairShares(claims)
-		var distance float64
+		fair := queue.FairShares(teamDemands)
+		var deviation float64
 		for team := range weights {
 			d := math.Abs(used[team]/total-fair[team]) * 100
-			distance += d
+			deviation += d
 			rep.MaxShareError = max(rep.MaxShareError, d)
 		}
-		sum += distance / float64(len(weights))
+		sum += deviation / float64(len(weights))
 	}
 	if full > 0 {
 		rep.MeanShareError = sum / float64(full)
@@ -238,13 +238,13 @@
 	rep.FullFraction = float64(full) / float64(max(samples, 1))
 }
 
-// taskDemand describes one task from submission to its last end.
+// taskDemand describes one task from its submission to the end of its last run.
 type taskDemand struct {
 	team      string
 	cpu       float64
 	sentMs    int64
-	lastEndMs int64 // end of its last run
-	runs      [][2]int64
+	lastEndMs int64
+	runs      [][2]int64 // start and end of each run, in milliseconds since 1970
 }
 
 // demandsOf returns the tasks of the accepted jobs that ran at least once.
@@ -294,7 +294,7 @@
 	return used, wants
 }
 
-const zoneReturnMs = 2000 // included after the return of a zone
+const zoneReturnMs = 2000 // time after the return of a zone that is included
 
 // zoneChangeUtilization returns the CPU use from the removal of each zone until
 // shortly after its return, as a fraction of the capacity in service.
@@ -303,26 +303,26 @@
 	for _, r := range h.Runs {
 		azOf[r.Worker] = r.Az
 	}
-	var done, could float64
+	var used, available float64
 	for _, s := range h.AzOut {
 		back := s.EndMs
 		if back == 0 {
 			back = end
 		}
 		until := min(back+zoneReturnMs, end)
-		done += cpuUsed(h.Runs, s.StartMs, until)
+		used += cpuUsed(h.Runs, s.StartMs, until)
 		for w, c := range h.Capacity {
 			if azOf[w] == s.Name {
-				could += float64(c.CPU) * float64(max(until-back, 0))
+				available += float64(c.CPU) * float64(max(until-back, 0))
 				continue
 			}
-			could += float64(c.CPU) * float64(until-s.StartMs)
+			available += float64(c.CPU) * float64(until-s.StartMs)
 		}
 	}
-	if could == 0 {
+	if available == 0 {
 		return 0
 	}
-	return done / could
+	return used / available
 }
 
 // Print writes the report as text.
--- a/internal/tool/demo/run.go
+++ b/internal/tool/demo/run.go
@@ -244,8 +244,8 @@
 	fn(&r.history)
 }
 
-// edit sends an operator's edit to any ready entry host and returns when it was
-// accepted.
+// edit sends an operator's edit to any ready entry host and returns the time at
+// which it was accepted.
 func (r *run) edit(ctx context.Context, e config.Edit) (acceptedMs int64, ok bool) {
 	op := caller.New(caller.Config{API: []string{r.c.slots[r.generator.nextHost()].api()}, MaxAttempts: 50})
 	conf, err := op.Config(ctx)
@@ -315,7 +315,7 @@
 }
 
 // inForce reports whether every ready entry host has applied the configuration
-// log through the offset. Other entry hosts refuse requests.
+// log through the offset. Hosts that are not ready refuse requests.
 func (r *run) inForce(offset int64) bool {
 	for _, s := range r.c.slots {
 		if h := s.current(); h != nil && h.Ready() == nil && h.Dump().ConfigNext <= offset {
--- a/internal/tool/gauge/target.go
+++ b/internal/tool/gauge/target.go
@@ -12,7 +12,7 @@
 const (
 	workers             = 3200
 	startsPerS          = 1700.0 // at the peak
-	running             = 18_000
+	running             = 18_000 // tasks
 	jobsPerDay          = 13_000
 	teams               = 94
 	zones               = 17
@@ -29,17 +29,17 @@
 	waitingShapes    = 200 // distinct task shapes waiting in one group at the peak
 	renewIntervalS   = 2.0
 	secondsPerDay    = 86_400.0
-	queuedAtPeak     = 100_000
-	maxReplayRecords = 5000 // maximum number of records after the last snapshot
-	takeoverS        = 2.5  // time to suspect a dead owner and claim its group
-	configObjects    = 2000 // configuration objects that exist
+	queuedAtPeak     = 100_000 // jobs
+	maxReplayRecords = 5000    // maximum number of records after the last snapshot
+	takeoverS        = 2.5     // time to suspect a dead owner and claim its group
+	configObjects    = 2000    // configuration objects that exist
 )
 
 // Control overhead budgets of one daemon, from the requirements.
 const (
 	budgetCores = 0.011
-	budgetBytes = 4000.0 // a second
-	budgetMem   = 256e6
+	budgetBytes = 4000.0 // bytes sent per second
+	budgetMem   = 256e6  // bytes
 )
 
 // Estimate is a cost at the target size, one row of the generated table.
@@ -73,7 +73,7 @@
 	workersOfDaemon := float64(workers) / entryHosts
 	startsOfDaemon := startsPerS / entryHosts
 	tasksOnWorker := float64(running) / workers
-	interval := float64(groups) / appendBudget
+	interval := float64(groups) / appendBudget // seconds between two appends of a group
 	startsInBatch := startsPerS / groups * interval
 	startNs := at("choose the next item", waitingShapes) + at("reserve room", workersInGroup) + perX("apply a batch")
 	renewalNs := at("take an inventory", tasksOnWorker)
--- a/internal/tool/judge/judge.go
+++ b/internal/tool/judge/judge.go
@@ -24,7 +24,8 @@
 // the configuration may take to have its effect, in milliseconds.
 const graceMs = 4000
 
-// SubmittedJob is a job that an entry host accepted.
+// SubmittedJob is a job that an entry host accepted. Times are in milliseconds
+// since 1970.
 type SubmittedJob struct {
 	ID         jobs.ID
 	Team       string
@@ -35,7 +36,8 @@
 	Final      jobs.State // last state that the API reported
 }
 
-// CallRecord is a call that a caller sent and its outcome.
+// CallRecord is a call that a caller sent and its outcome. Times are in
+// milliseconds since 1970.
 type CallRecord struct {
 	ID         string
 	Team       string
@@ -57,11 +59,11 @@
 }
 
 // Edit is an accepted configuration edit and the time at which every ready entry
-// host had applied it.
+// host had applied it, in milliseconds since 1970.
 type Edit struct {
 	Name       string
 	AcceptedMs int64
-	InForceMs  int64 // 0 if some entry host never applied it
+	InForceMs  int64 // 0 if some ready entry host did not apply it in time
 }
 
 // History is everything that was recorded in a run.
@@ -79,8 +81,8 @@
 	Stops      []Interval // planned stops of entry hosts, named by host number
 	Edits      []Edit
 	Reverted   []string // observed regressions of the configuration
-	SlotPeak   int
-	Slots      int
+	SlotPeak   int      // largest number of concurrent calls on one executor
+	Slots      int      // of each executor
 }
 
 // Verdict is the result of checking one guarantee.
--- a/internal/tool/scene/scene.go
+++ b/internal/tool/scene/scene.go
@@ -89,25 +89,25 @@
 
 // Values of Fault.Kind.
 const (
-	LogOut      = "logOut"
-	LogBack     = "logBack"
-	LogSlow     = "logSlow"
-	LoseAnswers = "loseAnswers"
+	LogOut      = "logOut"      // every request to the log fails without an answer
+	LogBack     = "logBack"     // ends all faults of the log
+	LogSlow     = "logSlow"     // the log delays every request by Count milliseconds
+	LoseAnswers = "loseAnswers" // Count appends take effect but are not answered
 	KillHost    = "killHost"
 	StartHost   = "startHost"
-	StopHost    = "stopHost"
-	CutHost     = "cutHost"
+	StopHost    = "stopHost" // graceful stop, then a restart
+	CutHost     = "cutHost"  // partitioned from the log and its peers
 	MendHost    = "mendHost"
-	BadWorker   = "badWorker"
-	LoseWorker  = "loseWorker"
+	BadWorker   = "badWorker"  // every task fails right after its start
+	LoseWorker  = "loseWorker" // the worker loses its tasks and answers no request
 	MendWorker  = "mendWorker"
 	AzOut       = "azOut"
 	AzBack      = "azBack"
 	WithdrawKey = "withdrawKey"
-	CancelWork  = "cancelWave"
+	CancelWork  = "cancelWave" // cancels the unfinished jobs of a Work section
 	LeaveTarget = "leaveTarget"
-	CrossAnswer = "crossAnswers"
-	CutAnswer   = "cutAnswers"
+	CrossAnswer = "crossAnswers" // the target's answers have the ID of the previous request
+	CutAnswer   = "cutAnswers"   // the target's answers are truncated
 	MendTarget  = "mendTarget"
 )
 
