--- a/cmd/lagooncourse/docs_test.go
+++ b/cmd/lagooncourse/docs_test.go
@@ -14,12 +14,12 @@
 	"testing"
 )
 
-// repoRoot is the root of the repository, seen from the folder of this package.
+// repoRoot is the root of the repository, relative to the directory of this package.
 const repoRoot = "../.."
 
-// docPages are the pages that name things by their present names, as patterns
-// relative to repoRoot. Design notes, incidents and the journal are records, which
-// keep the names of their time.
+// docPages are the pages that must use the current names, as patterns relative to
+// repoRoot. Design notes, incidents and the journal are historical records and are
+// not checked.
 var docPages = []string{
 	"README.md", "docs/GLOSSARY.md", "docs/STYLE.md", "docs/ARCHITECTURE.md", "docs/OPERATIONS.md",
 	"docs/API.md", "docs/CONFIG.md", "docs/PROMISES.md", "docs/CAPACITY.md", "docs/PERFORMANCE.md",
--- a/internal/tool/cmds/demo.go
+++ b/internal/tool/cmds/demo.go
@@ -23,7 +23,7 @@
 	var scenarios []string
 	var logPath, policyName string
 	cmd := &cobra.Command{
-		Use: "demo", Short: "Run scenarios in one process and judge the promises", Args: exactArgs(0),
+		Use: "demo", Short: "Run scenarios in one process and check the guarantees", Args: exactArgs(0),
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			policy, ok := queue.Policies[policyName]
 			if !ok {
--- a/internal/tool/cmds/measure.go
+++ b/internal/tool/cmds/measure.go
@@ -12,7 +12,7 @@
 	cmd := &cobra.Command{Use: "measure", Short: "Take measurements"}
 	var from string
 	capacity := &cobra.Command{
-		Use: "capacity", Short: "Measure what each role costs and work out the cost at the users' planned size",
+		Use: "capacity", Short: "Measure the cost of each role and extrapolate it to the users' planned size",
 		Args: exactArgs(0),
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			slopes, err := loadOrMeasure(cmd, from)
--- a/internal/tool/cmds/operate.go
+++ b/internal/tool/cmds/operate.go
@@ -253,7 +253,7 @@
 func newTask(f *flags) *cobra.Command {
 	task := &cobra.Command{Use: "task", Short: "Tasks whose outcome is unknown"}
 	task.AddCommand(&cobra.Command{
-		Use: "settle JOB/INDEX done|failed|rerun", Short: "Decide what became of a parked task", Args: exactArgs(2),
+		Use: "settle JOB/INDEX done|failed|rerun", Short: "Set the outcome of a parked task, or run it again", Args: exactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			action := jobs.Action(args[1])
 			if !slices.Contains(jobs.Actions, action) {
--- a/internal/tool/demo/cell.go
+++ b/internal/tool/demo/cell.go
@@ -1,7 +1,7 @@
 // Package demo runs a scenario in one process: stand-ins for the platform's
 // services, the entry hosts, a load generator and fault injection, all connected
-// by loopback sockets. It reports the measurements of the run and a verdict on each
-// guarantee.
+// by loopback sockets. It reports the measurements of the run and a verdict on
+// each guarantee.
 //
 // # Usage
 //
@@ -140,7 +140,7 @@
 		if err != nil {
 			return err
 		}
-		set.Host.Peer = "127.0.0.1:0"
+		set.Host.Peer = "127.0.0.1:0" // any port; the text names another, because the check requires listen and peer to differ
 		log := stream.NewClient(stream.ClientConfig{URL: c.log.URL(), Timeout: set.Platform.LogTimeout})
 		s := &hostSlot{settings: set, faultyLog: &faultyLog{Log: log}, policy: cfg.Policy}
 		c.slots = append(c.slots, s)
--- a/internal/tool/demo/load.go
+++ b/internal/tool/demo/load.go
@@ -65,8 +65,8 @@
 }
 
 // generate calls fn up to maxCount times at exponentially distributed intervals,
-// beginning startAfter after the start of the run. The sequence of intervals depends only on
-// the scenario's seed.
+// beginning startAfter after the start of the run. The sequence of intervals
+// depends only on the scenario's seed and the salt.
 func (l *generator) generate(ctx context.Context, salt uint64, meanInterval, startAfter time.Duration, maxCount int, fn func(*rand.Rand, int)) {
 	r := rand.New(rand.NewPCG(uint64(l.c.scenario.Cell.Seed), salt))
 	l.wg.Add(1)
--- a/internal/tool/demo/report.go
+++ b/internal/tool/demo/report.go
@@ -336,7 +336,7 @@
 	fmt.Fprintf(w, "control cost         %.0f appends/s; each entry host sends %.0f bytes/s for control and %.0f for work; %.2f cores for the whole process\n",
 		r.Appends, r.Control, r.WorkBytes, r.CPU)
 	if r.FullFraction > 0 {
-		fmt.Fprintf(w, "share fairness       %.1f points off on average, %.1f at worst, while full (%.0f%% of the time)\n", r.MeanShareError, r.MaxShareError, r.FullFraction*100)
+		fmt.Fprintf(w, "share fairness       %.1f percentage points off on average, %.1f at worst, while full (%.0f%% of the time)\n", r.MeanShareError, r.MaxShareError, r.FullFraction*100)
 	} else {
 		fmt.Fprintln(w, "share fairness       the fleet was never full")
 	}
@@ -351,7 +351,7 @@
 		if !v.Held() {
 			word = "BROKEN"
 		}
-		fmt.Fprintf(w, "%-7s %s (%d facts)\n", word, v.Guarantee, v.Checked)
+		fmt.Fprintf(w, "%-7s %s (%d records checked)\n", word, v.Guarantee, v.Checked)
 		for _, ev := range v.Violations {
 			fmt.Fprintln(w, "          "+ev)
 		}
--- a/internal/tool/gauge/pure.go
+++ b/internal/tool/gauge/pure.go
@@ -138,7 +138,7 @@
 }
 
 // chooseTime measures choosing the next item when tasks of a given number of
-// distinct shapes (team, kind and size) wait.
+// distinct shapes (here combinations of team and size) wait.
 func chooseTime() Slope {
 	return Fit("choose the next item", "shapes that wait", "ns", points([]int{10, 100, 500}, func(shapes int) float64 {
 		q := queue.New(queue.Config{})
--- a/internal/tool/judge/judge.go
+++ b/internal/tool/judge/judge.go
@@ -176,7 +176,7 @@
 	for w, runs := range byWorker {
 		v.Checked += len(runs)
 		if at, sum, over := h.firstExcess(runs, h.Capacity[w]); over {
-			v.addViolation("worker %s ran %s at %d", w, sum, at)
+			v.addViolation("worker %s ran %s at %d ms since 1970", w, sum, at)
 		}
 	}
 	if h.SlotPeak > h.Slots {
@@ -236,7 +236,7 @@
 	for team, limit := range h.Limits {
 		v.Checked += len(byTeam[team])
 		if at, sum, over := h.firstExcess(byTeam[team], limit); over {
-			v.addViolation("team %s ran %s at %d, above its limit of %s", team, sum, at, limit)
+			v.addViolation("team %s ran %s at %d ms since 1970, above its limit of %s", team, sum, at, limit)
 		}
 	}
 }
