--- a/internal/plat/fakes/exec.go
+++ b/internal/plat/fakes/exec.go
@@ -45,8 +45,7 @@
 	EndMs   int64  `json:"endMs"`
 }
 
-// Execs fakes executors. Each executor listens on its own
-// address.
+// Execs fakes executors. Each executor listens on its own address.
 type Execs struct {
 	admin *httpd.Server
 	execs []*fakeExecutor
@@ -64,7 +63,7 @@
 	slots  chan struct{}
 
 	mu       sync.Mutex
-	sw       ExecFaults
+	faults   ExecFaults
 	maxCalls int    // maximum of concurrent calls
 	refused  int    // calls refused because no slot was free
 	conns    int    // open connections
@@ -176,7 +175,7 @@
 			continue
 		}
 		x.mu.Lock()
-		x.sw = s
+		x.faults = s
 		if s.State != "" {
 			x.info.State = s.State
 		}
@@ -211,10 +210,10 @@
 		x.refuse(w, r, "no free slot")
 		return
 	}
-	sw, previous := x.begin(r.Header.Get(target.HeaderID))
+	faults, previous := x.begin(r.Header.Get(target.HeaderID))
 	answer := x.work(r, body)
 	<-x.slots
-	x.reply(w, r, sw, previous, answer)
+	x.reply(w, r, faults, previous, answer)
 }
 
 // begin records the request ID and returns the injected faults and the previous
@@ -225,7 +224,7 @@
 	x.maxCalls = max(x.maxCalls, len(x.slots))
 	previous := x.lastID
 	x.lastID = id
-	return x.sw, previous
+	return x.faults, previous
 }
 
 // work runs the call and records it, even if the caller disconnects, and returns
@@ -243,25 +242,25 @@
 	return fmt.Appendf(nil, `{"number":%d,"echo":%s}`, e.callCount, strconv.Quote(string(body)))
 }
 
-func (x *fakeExecutor) reply(w http.ResponseWriter, r *http.Request, sw ExecFaults, previous string, body []byte) {
-	if sw.LateMs > 0 {
-		sleepCtx(r.Context(), time.Duration(sw.LateMs)*time.Millisecond)
+func (x *fakeExecutor) reply(w http.ResponseWriter, r *http.Request, faults ExecFaults, previous string, body []byte) {
+	if faults.LateMs > 0 {
+		sleepCtx(r.Context(), time.Duration(faults.LateMs)*time.Millisecond)
 	}
-	if sw.HangUp {
+	if faults.HangUp {
 		dropConn(w)
 		return
 	}
 	id := r.Header.Get(target.HeaderID)
-	if sw.Cross {
+	if faults.Cross {
 		id = previous
 	}
 	w.Header().Set(target.HeaderID, id)
 	w.Header().Set(target.HeaderChecksum, target.Checksum(body))
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
-	if sw.Corrupt {
+	if faults.Corrupt {
 		body[len(body)/2] ^= 1
 	}
-	if sw.Cut {
+	if faults.Cut {
 		_, _ = w.Write(body[:len(body)/2])
 		_ = http.NewResponseController(w).Flush()
 		dropConn(w)
--- a/internal/plat/fakes/log.go
+++ b/internal/plat/fakes/log.go
@@ -49,7 +49,7 @@
 	ctx    context.Context
 
 	mu      sync.Mutex
-	sw      LogFaults
+	faults  LogFaults
 	stats   LogStats
 	streams map[string]*logStream
 }
@@ -106,7 +106,7 @@
 func (l *Log) Set(s LogFaults) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.sw = s
+	l.faults = s
 	if s.KeepLast > 0 {
 		for _, st := range l.streams {
 			st.drop(len(st.records) - s.KeepLast)
@@ -137,15 +137,15 @@
 func (l *Log) withFaults(h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		l.mu.Lock()
-		sw := l.sw
+		faults := l.faults
 		l.mu.Unlock()
-		if sw.SlowMs > 0 {
+		if faults.SlowMs > 0 {
 			select {
-			case <-time.After(time.Duration(sw.SlowMs) * time.Millisecond):
+			case <-time.After(time.Duration(faults.SlowMs) * time.Millisecond):
 			case <-r.Context().Done():
 			}
 		}
-		if sw.Outage {
+		if faults.Outage {
 			dropConn(w)
 			return
 		}
@@ -179,8 +179,8 @@
 func (l *Log) add(name string, data []byte) (offset int64, answered bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.sw.DropAppends > 0 {
-		l.sw.DropAppends--
+	if l.faults.DropAppends > 0 {
+		l.faults.DropAppends--
 		return 0, false
 	}
 	st := l.stream(name)
@@ -189,8 +189,8 @@
 	st.changed = make(chan struct{})
 	l.stats.Appends++
 	l.stats.Bytes += int64(len(data))
-	if l.sw.LoseAnswers > 0 {
-		l.sw.LoseAnswers--
+	if l.faults.LoseAnswers > 0 {
+		l.faults.LoseAnswers--
 		return 0, false
 	}
 	return st.first + int64(len(st.records)) - 1, true
@@ -229,7 +229,7 @@
 func (l *Log) inOutage() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.sw.Outage
+	return l.faults.Outage
 }
 
 // page returns records of a stream and a channel that is closed at the next
--- a/internal/plat/fakes/simfleet.go
+++ b/internal/plat/fakes/simfleet.go
@@ -284,8 +284,9 @@
 	return all
 }
 
-// finishGang ends the remaining members of a gang after one member has ended: as
-// done if that member ended so, otherwise as broken.
+// finishGang ends the remaining members of a gang after one member has ended with
+// the given reason. They end with EndDone if reason is EndDone, otherwise with
+// EndGangBroken.
 func (f *SimFleet) finishGang(gangID string, reason sched.EndReason) {
 	if reason != sched.EndDone {
 		reason = sched.EndGangBroken
@@ -488,7 +489,7 @@
 	return f.stop(o, nowMs)
 }
 
-// HeartbeatAt handles a lease renewal at time nowMs.
+// HeartbeatAt handles a heartbeat at time nowMs.
 func (f *SimFleet) HeartbeatAt(r ports.HeartbeatRequest, nowMs int64) (ports.HeartbeatResponse, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/plat/fakes/store.go
+++ b/internal/plat/fakes/store.go
@@ -28,7 +28,7 @@
 	Away   map[string]bool // callers whose calls are refused
 	Lost   float64         // probability, 0 to 1, that an append takes effect but is not answered
 	Delay  time.Duration   // delay of each call
-	Silent bool            // calls refused because of Down or Away get no answer instead; they have no effect
+	Silent bool            // calls that Down or Away would refuse get no answer; they have no effect
 }
 
 type topic struct {
@@ -45,8 +45,8 @@
 	recent map[int64]int64 // sequence number -> offset of the last few appends
 }
 
-// maxRecent is the number of a writer's last appends for which a repeated append
-// returns the original offset.
+// maxRecent is the number of recent appends kept for each writer. Repeating one of
+// them returns its original offset and appends nothing.
 const maxRecent = 5
 
 // NewStore returns an empty store.
--- a/internal/plat/fakes/worker.go
+++ b/internal/plat/fakes/worker.go
@@ -61,7 +61,7 @@
 	host hosts.Worker
 
 	mu          sync.Mutex
-	sw          WorkerFaults
+	faults      WorkerFaults
 	token       worker.Token
 	leaseEnd    time.Time
 	lease       *time.Timer
@@ -168,7 +168,7 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.sw = s
+	w.faults = s
 	if s.State != "" {
 		w.host.State = s.State
 	}
@@ -215,13 +215,13 @@
 func (w *fakeWorker) paused() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.sw.Paused
+	return w.faults.Paused
 }
 
 func (w *fakeWorker) dead() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.sw.Dead
+	return w.faults.Dead
 }
 
 // markChanged increments the version and wakes the renewals that wait for a
@@ -284,8 +284,8 @@
 		return false, nil
 	}
 	w.run(req)
-	if w.sw.LoseStart > 0 {
-		w.sw.LoseStart--
+	if w.faults.LoseStart > 0 {
+		w.faults.LoseStart--
 		return true, nil
 	}
 	return false, nil
@@ -309,7 +309,7 @@
 	w.runs = append(w.runs, t.run)
 	w.running[req.Attempt] = t
 	end, after := worker.EndOK, time.Duration(t.runMs)*time.Millisecond
-	if w.sw.FailAll || strings.HasPrefix(req.Payload, "fail") {
+	if w.faults.FailAll || strings.HasPrefix(req.Payload, "fail") {
 		end, after = worker.EndFailed, time.Millisecond
 	}
 	if t.runMs > 0 || end == worker.EndFailed {
@@ -365,8 +365,8 @@
 }
 
 // renew extends the lease and returns the inventory once its version differs from
-// req.Since or req.WaitMs has passed. This also holds for Since 0 while the version
-// is 0.
+// req.Since or req.WaitMs has passed. While the version is 0, a request with Since 0
+// also waits.
 func (w *fakeWorker) renew(rw http.ResponseWriter, r *http.Request) {
 	req, err := httpd.ReadJSON[worker.RenewRequest](r, httpd.MaxBodyBytes)
 	if err != nil {
@@ -399,7 +399,7 @@
 	}
 }
 
-// applyRenewal checks the token, drops the attempts that req names as forgotten and
+// applyRenewal checks the token, drops the finished attempts in req.Recorded and
 // extends the lease. It returns a channel that is closed at the next change.
 func (w *fakeWorker) applyRenewal(req worker.RenewRequest) (<-chan struct{}, error) {
 	w.mu.Lock()
