--- a/internal/plat/hosts/hosts.go
+++ b/internal/plat/hosts/hosts.go
@@ -22,7 +22,7 @@
 // State is the state of a host in the list.
 type State string
 
-// Host states. A host that is not in the list is gone.
+// Host states. There is none for a removed host: it is no longer in the list.
 const (
 	Live    State = "live"
 	Leaving State = "leaving" // gets no new work
--- a/internal/plat/ports/ports.go
+++ b/internal/plat/ports/ports.go
@@ -34,7 +34,7 @@
 // AppendRequest appends records to partition 0 of a topic atomically.
 type AppendRequest struct {
 	Topic   string
-	Writer  string // producer id for fencing; empty for an unfenced append
+	Writer  string // producer ID for fencing; empty for an unfenced append
 	Epoch   int64  // epoch of the writer; the store refuses an epoch below the highest that it has received
 	Seq     int64  // sequence number of the append within the epoch; increases by 1 with each append
 	Records []Record
@@ -217,7 +217,7 @@
 type OperatorKey struct {
 	Config bool   // the record is the configuration
 	Az     string // the record evacuates this availability zone
-	Wave   string // the record is this maintenance wave
+	Wave   string // the record describes this maintenance wave
 }
 
 // Team is a client account.
--- a/internal/plat/stream/replay.go
+++ b/internal/plat/stream/replay.go
@@ -111,7 +111,7 @@
 // applySnapshot only resets the counters if the machine has its state. Otherwise it
 // restores the machine if the first buffered record is at or before UpTo+1, and
 // applies the buffered records after UpTo. It ignores a snapshot that is read
-// before any machine record, although no record after UpTo may be missing.
+// before any machine record, even if no record after UpTo is missing.
 func (r *Replay) applySnapshot(e entry) {
 	if r.ready {
 		r.records, r.bytes = 0, 0
--- a/internal/plat/worker/worker.go
+++ b/internal/plat/worker/worker.go
@@ -44,8 +44,9 @@
 	Number int    `json:"number"` // from 1
 }
 
-// StartRequest asks a worker to run a task. CPU is in millicores and Mem in
-// MiB; both are hard limits in the worker's resource accounting.
+// StartRequest asks a worker to run a task. CPU is in millicores, Mem in MiB and
+// Accel in devices. CPU and Mem are hard limits in the worker's resource
+// accounting.
 type StartRequest struct {
 	Token      Token   `json:"token"`
 	Boot       int64   `json:"boot"` // boot number of the intended incarnation of the worker
@@ -70,7 +71,8 @@
 	Recorded []Attempt `json:"forget,omitempty"` // finished attempts whose result is recorded; the worker drops them
 }
 
-// Running describes a running attempt.
+// Running describes a running attempt. CPU is in millicores, Mem in MiB and Accel
+// in devices.
 type Running struct {
 	Attempt Attempt `json:"attempt"`
 	Home    string  `json:"home"`
