--- a/internal/base/fault/fault.go
+++ b/internal/base/fault/fault.go
@@ -26,7 +26,7 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// Outcome reports whether a request took effect, which is also called "ran".
+// Outcome reports whether a request took effect. Its JSON key is "ran".
 type Outcome string
 
 // Outcomes of a request. OutcomeOf reports an empty outcome as Unknown.
