--- a/internal/base/frame/frame_test.go
+++ b/internal/base/frame/frame_test.go
@@ -103,7 +103,8 @@
 }
 
 // TestBrokenConnection checks that a call has an unknown outcome if its
-// connection closes before the response, and that the next call redials.
+// connection closes before the response, that the next call redials, and that a
+// refused connection means NotRun.
 func TestBrokenConnection(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
--- a/internal/plat/stream/replay_test.go
+++ b/internal/plat/stream/replay_test.go
@@ -31,10 +31,10 @@
 	records []string // records that a reader of the whole stream has applied
 }
 
-func (tp *memStream) page(from, first int64, most int) Page {
-	p := Page{First: first, Next: int64(len(tp.data))}
+func (s *memStream) page(from, first int64, most int) Page {
+	p := Page{First: first, Next: int64(len(s.data))}
 	for off := max(from, first); off < p.Next && len(p.Records) < most; off++ {
-		p.Records = append(p.Records, Record{Offset: off, Data: tp.data[off]})
+		p.Records = append(p.Records, Record{Offset: off, Data: s.data[off]})
 	}
 	return p
 }
@@ -45,7 +45,7 @@
 // stream.
 func TestAgainstNaive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var tp memStream
+		var s memStream
 		writer := &Replay{Machine: &history{}}
 		var late [][]byte
 		for i := range rapid.IntRange(1, 60).Draw(t, "n") {
@@ -57,39 +57,39 @@
 			case 1:
 				if len(late) > 0 {
 					n := rapid.IntRange(0, len(late)-1).Draw(t, "late")
-					tp.data = append(tp.data, late[n])
+					s.data = append(s.data, late[n])
 				}
 			case 2:
-				tp.data = append(tp.data, []byte{0xc1})
+				s.data = append(s.data, []byte{0xc1})
 			default:
 				text := string(rune('a' + i%26))
 				data, err := EncodeRecord([]byte(text))
 				assert.NilError(t, err)
-				tp.data = append(tp.data, data)
-				tp.records = append(tp.records, text)
+				s.data = append(s.data, data)
+				s.records = append(s.records, text)
 			}
-			writer.Take(tp.page(writer.Next(), 0, 100))
+			writer.Take(s.page(writer.Next(), 0, 100))
 		}
-		assert.DeepEqual(t, writer.Machine.(*history).Records, tp.records)
-		readFresh(t, &tp)
+		assert.DeepEqual(t, writer.Machine.(*history).Records, s.records)
+		readFresh(t, &s)
 	})
 }
 
 // readFresh reads a truncated stream in small pages with a new reader.
-func readFresh(t *rapid.T, tp *memStream) {
-	first := rapid.Int64Range(0, int64(len(tp.data))).Draw(t, "first")
+func readFresh(t *rapid.T, s *memStream) {
+	first := rapid.Int64Range(0, int64(len(s.data))).Draw(t, "first")
 	m := &history{}
 	r := &Replay{Machine: m}
 	atEnd := false
-	for range len(tp.data) + 1 {
-		atEnd = r.Take(tp.page(r.Next(), first, rapid.IntRange(1, 5).Draw(t, "page")))
+	for range len(s.data) + 1 {
+		atEnd = r.Take(s.page(r.Next(), first, rapid.IntRange(1, 5).Draw(t, "page")))
 	}
 	assert.Assert(t, atEnd)
 	if first == 0 {
 		assert.Assert(t, r.Ready())
 	}
 	if r.Ready() {
-		assert.Assert(t, slices.Equal(m.Records, tp.records), "%v, want %v", m.Records, tp.records)
+		assert.Assert(t, slices.Equal(m.Records, s.records), "%v, want %v", m.Records, s.records)
 	}
 }
 
--- a/internal/plat/target/target_test.go
+++ b/internal/plat/target/target_test.go
@@ -27,9 +27,9 @@
 // the faulty answer with outcome Unknown, and the next call must succeed.
 func TestAnswers(t *testing.T) {
 	for _, tc := range []struct {
-		name string
-		sw   fakes.ExecFaults
-		code fault.Code
+		name   string
+		faults fakes.ExecFaults
+		code   fault.Code
 	}{
 		{"crossed", fakes.ExecFaults{Cross: true}, fault.BadResponse},
 		{"cut", fakes.ExecFaults{Cut: true}, fault.BadResponse},
@@ -46,7 +46,7 @@
 			}
 			_, err := call("before")
 			assert.NilError(t, err)
-			e.Set(tc.sw)
+			e.Set(tc.faults)
 			a, err := call("x")
 			assert.Assert(t, fault.HasCode(err, tc.code), "%v", err)
 			assert.Equal(t, fault.OutcomeOf(err), fault.Unknown)
